--- a/packages/core/include/lc-usage-reports.h
+++ b/packages/core/include/lc-usage-reports.h
@@ -20,14 +20,21 @@
   int64_t max_delay_ms;
 } LcUsageReportSettings;
 
-/* The lc_usage_reports_..._completed function named for an action takes its result. */
+/* Actions of the instance that holds the reporting duty. */
 typedef enum
 {
-  LC_USAGE_READ_REPORTS,  /* read the recorded reports; then call read_completed */
-  LC_USAGE_SUM_ROWS,      /* sum the rows of the window; then call sum_completed */
-  LC_USAGE_RECORD_REPORT, /* record text unless the window has one; then call record_completed */
-  LC_USAGE_SEND_REPORT,   /* send text to the platform; then call send_completed */
-  LC_USAGE_CLOSE_WINDOW   /* delete the rows, mark the report as sent; then call close_completed */
+  /* read the recorded reports; then call lc_usage_reports_read_reports_completed */
+  LC_USAGE_READ_REPORTS,
+  /* sum the rows of the window; then call lc_usage_reports_sum_rows_completed */
+  LC_USAGE_SUM_ROWS,
+  /* record `text` in the store unless the window already has a recorded report; then call
+   * lc_usage_reports_record_report_completed */
+  LC_USAGE_RECORD_REPORT,
+  /* send `text` to the platform; then call lc_usage_reports_send_report_completed */
+  LC_USAGE_SEND_REPORT,
+  /* delete the window's rows and mark its report as sent; then call
+   * lc_usage_reports_close_window_completed */
+  LC_USAGE_CLOSE_WINDOW
 } LcUsageActionType;
 
 typedef struct
@@ -86,7 +93,8 @@
 /* Records that a store request of this instance failed. Windows are then not summed for a while, so
  * that instances can write the rows that failed. */
 void lc_usage_reports_record_store_failure (LcUsageReports *reports, LbTime now);
-/* Sets *action to the next action; returns false if none is due. true_ms: Unix milliseconds. */
+/* Sets *action to the next action; returns false if there is nothing to do now. true_ms: Unix
+ * milliseconds. */
 bool lc_usage_reports_next_action (LcUsageReports *reports,
                                    int64_t true_ms,
                                    LbTime now,
--- a/packages/core/include/lc-usage.h
+++ b/packages/core/include/lc-usage.h
@@ -44,9 +44,9 @@
 /* Functions that change an LcUsage. */
 /* Counts a request that started at true_ms, in Unix milliseconds. */
 void lc_usage_count_request (LcUsage *usage, const char *organisation, int64_t true_ms);
-/* Sets *row to the next row to write; returns false if none is due. After the write, the caller
- * calls lc_usage_row_write_completed and frees the text. Rows of one window are `period` or
- * more apart. */
+/* Sets *row to the next row to write; returns false if there is none to write now. After the write,
+ * the caller calls lc_usage_row_write_completed and frees the text. The row of one window is
+ * returned at most once in each `period`. */
 bool lc_usage_next_row (LcUsage *usage, LbTime period, LbTime now, LcUsageRow *row);
 /* Ends the write of the window's row; the row is written again if ok is false. */
 void lc_usage_row_write_completed (LcUsage *usage, int64_t window, bool ok);
--- a/packages/core/src/usage/lc-organisations.c
+++ b/packages/core/src/usage/lc-organisations.c
@@ -38,7 +38,7 @@
 }
 
 static void
-format_hex (const unsigned char *bytes, size_t n, char *text)
+format_bytes_as_hex (const unsigned char *bytes, size_t n, char *text)
 {
   for (size_t i = 0; i < n; i++)
     snprintf (text + 2 * i, 3, "%02x", bytes[i]);
@@ -47,13 +47,13 @@
 void
 lc_key_format_log_id (const LcKeyDigest *digest, char log_id[LC_KEY_LOG_ID_SIZE])
 {
-  format_hex (digest->bytes, LOG_ID_BYTES, log_id);
+  format_bytes_as_hex (digest->bytes, LOG_ID_BYTES, log_id);
 }
 
 void
 lc_key_digest_to_text (const LcKeyDigest *digest, char text[LC_KEY_DIGEST_TEXT_SIZE])
 {
-  format_hex (digest->bytes, LC_KEY_DIGEST_SIZE, text);
+  format_bytes_as_hex (digest->bytes, LC_KEY_DIGEST_SIZE, text);
 }
 
 bool
@@ -100,7 +100,7 @@
 }
 
 static Entry *
-find_entry (const LcOrganisations *organisations, const char *name)
+find_organisation_entry (const LcOrganisations *organisations, const char *name)
 {
   Entry *entry = NULL;
 
@@ -117,7 +117,7 @@
 
   if (organisation->name[0] == '\0')
     return lb_error_set (error, LB_ERROR_MISSING_KEY, "name", "organisation has an empty name");
-  if (find_entry (organisations, organisation->name))
+  if (find_organisation_entry (organisations, organisation->name))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, organisation->name,
                          "another organisation has the same name");
   entry = LB_NEW (Entry);
@@ -131,7 +131,7 @@
 /* The lookup uses the digest, and the final comparison takes constant time, so response times don't
  * reveal how close a guessed key is. */
 static Key *
-find_key (const LcOrganisations *organisations, const LcKeyDigest *digest)
+find_key_by_digest (const LcOrganisations *organisations, const LcKeyDigest *digest)
 {
   Key *key = NULL;
 
@@ -144,7 +144,7 @@
 bool
 lc_organisations_add_key (LcOrganisations *organisations, const LcKeyDigest *digest, LbError *error)
 {
-  Key *key = find_key (organisations, digest);
+  Key *key = find_key_by_digest (organisations, digest);
   char log_id[LC_KEY_LOG_ID_SIZE];
 
   if (key && key->entry == organisations->last_added)
@@ -172,7 +172,7 @@
 const LcOrganisation *
 lc_organisations_find_by_key (const LcOrganisations *organisations, const LcKeyDigest *digest)
 {
-  const Key *key = find_key (organisations, digest);
+  const Key *key = find_key_by_digest (organisations, digest);
 
   return key ? &key->entry->organisation : NULL;
 }
@@ -180,7 +180,7 @@
 const LcOrganisation *
 lc_organisations_find (const LcOrganisations *organisations, const char *name)
 {
-  const Entry *entry = find_entry (organisations, name);
+  const Entry *entry = find_organisation_entry (organisations, name);
 
   return entry ? &entry->organisation : NULL;
 }
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -8,7 +8,8 @@
 
 /* Delay before a failed action is repeated. */
 #define RETRY_DELAY (250 * LB_MSEC)
-/* Time after a store failure for instances to repeat failed writes and late writes to arrive. */
+/* Time after a store failure before rows are summed, so that instances can repeat failed writes and
+ * late writes can arrive. */
 #define STORE_RECOVERY_DELAY (1500 * LB_MSEC)
 /* Largest number of windows reported late after no instance held the reporting duty. Older windows
  * are not reported. */
@@ -17,9 +18,9 @@
 typedef enum
 {
   WINDOW_OPEN,     /* rows are incomplete or not summed yet */
-  WINDOW_SUMMED,   /* text has the sums, and is not recorded in the store yet */
-  WINDOW_RECORDED, /* text is recorded in the store */
-  WINDOW_SENT,     /* the platform accepted text */
+  WINDOW_SUMMED,   /* `text` is the report, not recorded in the store yet */
+  WINDOW_RECORDED, /* `text` is recorded in the store */
+  WINDOW_SENT,     /* the platform accepted `text` */
   WINDOW_CLOSED
 } WindowState;
 
@@ -251,7 +252,7 @@
 }
 
 static void
-remove_old_windows (LcUsageReports *reports)
+remove_windows_before_first (LcUsageReports *reports)
 {
   LB_LIST_FOREACH (&reports->windows, Window, link, window)
   {
@@ -327,7 +328,7 @@
   if (!reports->has_read)
     return next_read_reports_action (reports, now, action);
   add_missing_windows (reports, current);
-  remove_old_windows (reports);
+  remove_windows_before_first (reports);
   for (int64_t window_number = reports->first_window; window_number <= current; window_number++)
     {
       Window *window = find_window (reports, window_number);
--- a/packages/core/src/usage/lc-usage.c
+++ b/packages/core/src/usage/lc-usage.c
@@ -26,7 +26,7 @@
   LbLink link;
   int64_t number;
   LcUsageCounts *counts;
-  bool changed; /* counts have changed since the last row was returned */
+  bool changed; /* counts have changed since lc_usage_next_row last returned the window's row */
   bool is_being_written;
   LbTime next_row_at;
 } Window;
@@ -59,7 +59,7 @@
 }
 
 static Count *
-find_count (const LcUsageCounts *counts, const char *organisation)
+find_request_count (const LcUsageCounts *counts, const char *organisation)
 {
   Count *count = NULL;
 
@@ -68,9 +68,9 @@
 }
 
 static Count *
-get_or_add_count (LcUsageCounts *counts, const char *organisation)
+get_or_add_request_count (LcUsageCounts *counts, const char *organisation)
 {
-  Count *count = find_count (counts, organisation);
+  Count *count = find_request_count (counts, organisation);
 
   if (count)
     return count;
@@ -83,7 +83,7 @@
 void
 lc_usage_counts_add_requests (LcUsageCounts *counts, const char *organisation, int64_t requests)
 {
-  get_or_add_count (counts, organisation)->requests += requests;
+  get_or_add_request_count (counts, organisation)->requests += requests;
 }
 
 void
@@ -91,7 +91,7 @@
 {
   for (const Count *other = others->by_organisation; other; other = other->hh.next)
     {
-      Count *count = get_or_add_count (counts, other->organisation);
+      Count *count = get_or_add_request_count (counts, other->organisation);
       if (other->requests > count->requests)
         count->requests = other->requests;
     }
@@ -107,7 +107,7 @@
 int64_t
 lc_usage_counts_get_requests (const LcUsageCounts *counts, const char *organisation)
 {
-  const Count *count = find_count (counts, organisation);
+  const Count *count = find_request_count (counts, organisation);
 
   return count ? count->requests : 0;
 }
@@ -149,7 +149,7 @@
   return lb_json_serialize_and_release (object, JSON_C_TO_STRING_PLAIN);
 }
 
-/* --- windows of the requests that one instance counts --- */
+/* --- request counts of one instance, by time window --- */
 
 LcUsage *
 lc_usage_new (int64_t window_ms)
