--- a/packages/core/include/lc-engine-plan.h
+++ b/packages/core/include/lc-engine-plan.h
@@ -37,8 +37,8 @@
 lc_engine_plan_retain_engines (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines);
 bool lc_engine_plan_is_same (const LcEnginePlan *a, const LcEnginePlan *b);
 
-/* The plan is stored in parts, one row of the store each, since a row holds about 800 engines. A
- * hash of the engine name chooses the part. */
+/* The plan is stored in parts, each in its own row of the store, since a row holds only about 800
+ * engines. A hash of the engine name chooses the part. */
 #define LC_ENGINE_PLAN_PARTS 16
 /* Copies the entries of the part with this index; the caller clears part. */
 void lc_engine_plan_copy_part (const LcEnginePlan *plan, size_t index, LcEnginePlan *part);
--- a/packages/core/include/lc-swap-turns.h
+++ b/packages/core/include/lc-swap-turns.h
@@ -16,7 +16,7 @@
 size_t lc_swap_turns_choose_model (const LcSwapCandidate *candidates, size_t n);
 
 /* Maximum percentage of all engines that load weights at once; more loads slow each other down. The
- * number of engines is rounded up. Applies to deployments of all known sizes. */
+ * number of engines is rounded up. The percentage does not depend on the size of the deployment. */
 #define LC_SWAP_TURNS_MAX_LOADING_PERCENT 20
 
 /* Returns how many engines of all models together may load weights at once. */
--- a/packages/core/include/lc-weights.h
+++ b/packages/core/include/lc-weights.h
@@ -44,7 +44,7 @@
   LbName pool;
   double orders_per_second; /* maximum rate of load orders, as the weight store allows */
   int64_t burst;            /* maximum number of orders given at once after a pause */
-  LbTime load_timeout;      /* a load that takes longer counts as failed */
+  LbTime load_timeout;      /* a weight load that takes longer counts as failed */
   /* the state of an engine is unknown if its latest report is older than this */
   LbTime report_timeout;
   /* Time after the lease was gained during which an engine without a report counts as loading,
@@ -101,7 +101,7 @@
   LC_WEIGHTS_CAPACITY,      /* another swap would reduce live capacity below the reserve */
   LC_WEIGHTS_STATE_UNKNOWN, /* some engines have not reported their state */
   LC_WEIGHTS_BACKOFF,       /* failed loads are retried later */
-  LC_WEIGHTS_HALTED         /* loads of this version fail on all engines */
+  LC_WEIGHTS_HALTED /* several engines failed to load the target version, and no engine serves it */
 } LcWeightsWaitReason;
 
 typedef struct
--- a/packages/core/src/weights/lc-engine-plan.c
+++ b/packages/core/src/weights/lc-engine-plan.c
@@ -110,7 +110,7 @@
 }
 
 static bool
-is_engine_listed (const LcPlanEntry *entry, const LcPlanEntry *engines, size_t n_engines)
+is_engine_in_list (const LcPlanEntry *entry, const LcPlanEntry *engines, size_t n_engines)
 {
   for (size_t i = 0; i < n_engines; i++)
     if (strcmp (engines[i].engine, entry->engine) == 0)
@@ -124,7 +124,7 @@
   size_t n_kept = 0;
 
   for (size_t i = 0; i < plan->n_entries; i++)
-    if (is_engine_listed (&plan->entries[i], engines, n_engines))
+    if (is_engine_in_list (&plan->entries[i], engines, n_engines))
       plan->entries[n_kept++] = plan->entries[i];
   bool changed = n_kept != plan->n_entries;
   plan->n_entries = n_kept;
@@ -146,7 +146,7 @@
 }
 
 static size_t
-engine_part_index (const char *engine)
+plan_part_index_of_engine (const char *engine)
 {
   return XXH3_64bits (engine, strlen (engine)) % LC_ENGINE_PLAN_PARTS;
 }
@@ -165,7 +165,7 @@
 {
   memset (part, 0, sizeof *part);
   for (size_t i = 0; i < plan->n_entries; i++)
-    if (engine_part_index (plan->entries[i].engine) == index)
+    if (plan_part_index_of_engine (plan->entries[i].engine) == index)
       append_entries (part, &plan->entries[i], 1);
 }
 
@@ -225,7 +225,7 @@
 
 typedef struct
 {
-  LbName model; /* key of the hash table */
+  LbName model; /* key in LcDemand.by_model */
   double tokens;
   LbTime updated_at;
   UT_hash_handle hh;
@@ -267,7 +267,7 @@
 }
 
 static double
-decayed_tokens (const ModelDemand *model_demand, LbTime now)
+get_decayed_demand_tokens (const ModelDemand *model_demand, LbTime now)
 {
   return model_demand->tokens
          * exp2 (-(double)(now - model_demand->updated_at) / (double)DEMAND_HALF_LIFE);
@@ -285,7 +285,7 @@
       HASH_ADD_STR (demand->by_model, model, model_demand);
     }
   model_demand->tokens
-      = (model_demand->updated_at > 0 ? decayed_tokens (model_demand, now) : 0) + tokens;
+      = (model_demand->updated_at > 0 ? get_decayed_demand_tokens (model_demand, now) : 0) + tokens;
   model_demand->updated_at = now;
 }
 
@@ -300,7 +300,7 @@
 {
   const ModelDemand *model_demand = find_model_demand (demand, model);
 
-  return model_demand ? decayed_tokens (model_demand, now) : 0;
+  return model_demand ? get_decayed_demand_tokens (model_demand, now) : 0;
 }
 
 /* --- assignment of engines to models --- */
@@ -313,7 +313,7 @@
 } ModelShare;
 
 static size_t
-find_share_index (const ModelShare *shares, size_t n, const char *model)
+find_model_share_index (const ModelShare *shares, size_t n, const char *model)
 {
   for (size_t i = 0; i < n; i++)
     if (strcmp (shares[i].name, model) == 0)
@@ -322,8 +322,8 @@
 }
 
 /* Computes how many engines each model should have: one each, and the rest by demand, or evenly
- * without demand. Engines that registered one after the other may be assigned 5, 3 and 1; the first
- * steps of the model with one engine would wait. */
+ * without demand. Without the even division, engines that register one after the other may be
+ * assigned 5, 3 and 1 to three models, and the first steps of the last model would wait. */
 static void
 compute_model_shares (ModelShare *shares,
                       const LbName *models,
@@ -413,7 +413,7 @@
 
   for (size_t i = 0; i < n_engines; i++)
     {
-      size_t model = find_share_index (shares, n_models, engines[i].model);
+      size_t model = find_model_share_index (shares, n_models, engines[i].model);
       if (model < n_models)
         shares[model].n_engines++;
     }
--- a/packages/core/src/weights/lc-load-time.c
+++ b/packages/core/src/weights/lc-load-time.c
@@ -6,10 +6,11 @@
  * end 0.2 s later. */
 #define INITIAL_MEAN_LOAD_TIME (1100 * LB_MSEC)
 #define LOAD_TIME_EWMA_WEIGHT 0.2 /* weight of the latest sample in the moving average */
-/* Delay of the first poll as a fraction of the mean load time. A poll detects the end of a load a
- * little late, so the first poll is slightly earlier than the mean: it sometimes finds the load
- * ended, and the mean can decrease. Loads that end after 1.12 s are detected 24 ms late on average,
- * with 1.9 polls. A first poll after 1.01 s and an interval of 0.12 s gave 50 ms and 2.3 polls. */
+/* Delay of the first poll as a fraction of the mean load time. The mean includes the time until a
+ * poll detects the end of a load. A first poll slightly before the mean sometimes finds the load
+ * ended, so that the mean can decrease. Loads that end after 1.12 s are detected 24 ms late on
+ * average, with 1.9 polls. A first poll after 1.01 s and an interval of 0.12 s gave 50 ms and 2.3
+ * polls. */
 #define FIRST_POLL_DELAY_FACTOR 0.96
 #define POLL_INTERVAL_FACTOR 0.045 /* interval of further polls, fraction of the mean load time */
 /* A shorter interval does not help, since an engine takes several ms to answer a poll. */
--- a/packages/core/src/weights/lc-swap-turns.c
+++ b/packages/core/src/weights/lc-swap-turns.c
@@ -8,7 +8,7 @@
  * shares: otherwise the first of several equal models would get all loads, and the next step of
  * another model would find none of its engines ready. */
 static double
-usable_engine_score (const LcWeightsStatus *status)
+score_usable_engine_share (const LcWeightsStatus *status)
 {
   double engines = (double)status->engines;
 
@@ -33,8 +33,8 @@
   for (size_t i = 0; i < n; i++)
     if (is_candidate_for_load (&candidates[i])
         && (least_ready == n
-            || usable_engine_score (&candidates[i].status)
-                   < usable_engine_score (&candidates[least_ready].status)))
+            || score_usable_engine_share (&candidates[i].status)
+                   < score_usable_engine_share (&candidates[least_ready].status)))
       least_ready = i;
   return least_ready;
 }
--- a/packages/core/src/weights/lc-weights.c
+++ b/packages/core/src/weights/lc-weights.c
@@ -26,7 +26,7 @@
 
 typedef struct
 {
-  LbName name; /* key of the hash table */
+  LbName name; /* key in LcWeights.engines */
   LcEndpointMember member;
   EngineState state;
   LcWeightReport report;
@@ -365,7 +365,7 @@
 }
 
 static void
-expire_engine_state (const LcWeights *weights, Engine *engine, LbTime now)
+set_unknown_if_report_is_old (const LcWeights *weights, Engine *engine, LbTime now)
 {
   if (now - engine->last_report_at > weights->settings.report_timeout)
     set_engine_state (engine, ENGINE_UNKNOWN, now);
@@ -545,7 +545,7 @@
 }
 
 static void
-refill_order_tokens (LcWeights *weights, LbTime now)
+refill_order_rate_limit_tokens (LcWeights *weights, LbTime now)
 {
   double elapsed = (double)(now - weights->order_tokens_updated_at) / LB_SEC;
 
@@ -568,9 +568,9 @@
   PoolState pool;
   Engine *engine;
 
-  refill_order_tokens (weights, now);
+  refill_order_rate_limit_tokens (weights, now);
   for (engine = weights->engines; engine; engine = engine->hh.next)
-    expire_engine_state (weights, engine, now);
+    set_unknown_if_report_is_old (weights, engine, now);
   weights->wait_reason = LC_WEIGHTS_IDLE;
   if (weights->target <= 0)
     return;
