--- a/packages/core/src/config/lc-change.c
+++ b/packages/core/src/config/lc-change.c
@@ -14,10 +14,10 @@
 } ChangeLists;
 
 static bool
-check_list_is_bounded_array (struct json_object *value,
-                             const char *key,
-                             const char *file,
-                             LbError *error)
+check_list_is_array_within_limit (struct json_object *value,
+                                  const char *key,
+                                  const char *file,
+                                  LbError *error)
 {
   if (!json_object_is_type (value, json_type_array))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, file, "%s: expected an array", key);
@@ -44,7 +44,7 @@
       change->delete = value;
     else
       return lb_error_set (error, LB_ERROR_UNKNOWN_KEY, file, "%s: unknown key", key);
-    if (!check_list_is_bounded_array (value, key, file, error))
+    if (!check_list_is_array_within_limit (value, key, file, error))
       return false;
   }
   return true;
@@ -76,7 +76,7 @@
 }
 
 static size_t
-array_length_or_zero (struct json_object *list)
+get_array_length_or_zero (struct json_object *list)
 {
   return list ? json_object_array_length (list) : 0;
 }
@@ -90,7 +90,7 @@
 {
   LcResourceKind kind;
 
-  for (size_t i = 0; i < array_length_or_zero (list); i++)
+  for (size_t i = 0; i < get_array_length_or_zero (list); i++)
     {
       struct json_object *item = json_object_array_get_idx (list, i);
       if (!check_item_is_unique (seen_items, item, "delete", i, file, error))
@@ -111,7 +111,7 @@
                const char *file,
                LbError *error)
 {
-  for (size_t i = 0; i < array_length_or_zero (list); i++)
+  for (size_t i = 0; i < get_array_length_or_zero (list); i++)
     {
       struct json_object *item = json_object_array_get_idx (list, i);
       if (!check_item_is_unique (seen_items, item, "apply", i, file, error)
@@ -132,7 +132,8 @@
   if (!parse_change_lists (change, &lists, file, error))
     return NULL;
   struct json_object *seen_items = json_object_new_object ();
-  LcResourceSet *next = lc_resource_set_copy_with_room (set, array_length_or_zero (lists.apply));
+  LcResourceSet *next
+      = lc_resource_set_copy_with_room (set, get_array_length_or_zero (lists.apply));
   next->revision++;
   bool ok = delete_resources (next, lists.delete, seen_items, file, error)
             && put_resources (next, lists.apply, seen_items, file, error)
--- a/packages/core/src/config/lc-resources-private.h
+++ b/packages/core/src/config/lc-resources-private.h
@@ -3,8 +3,8 @@
 
 #include "lc-resources.h"
 
-/* Functions that change a copy of a set. Put and remove resources one by one, then validate the
- * whole set. */
+/* Functions that change a copy of a set. Put and remove resources one by one, then call
+ * lc_resource_set_check_references. */
 
 /* room: number of resources of each kind that can be added to the copy. */
 LcResourceSet *lc_resource_set_copy_with_room (const LcResourceSet *set, size_t room);
--- a/packages/core/src/config/lc-resources.c
+++ b/packages/core/src/config/lc-resources.c
@@ -112,13 +112,13 @@
 };
 
 static char **
-resource_array_field (const LcResourceSet *set, LcResourceKind kind)
+find_array_field_of_kind (const LcResourceSet *set, LcResourceKind kind)
 {
   return (char **)((char *)set + kind_infos[kind].items_offset);
 }
 
 static size_t *
-resource_count_field (const LcResourceSet *set, LcResourceKind kind)
+find_count_field_of_kind (const LcResourceSet *set, LcResourceKind kind)
 {
   return (size_t *)((char *)set + kind_infos[kind].count_offset);
 }
@@ -132,10 +132,11 @@
 static const void *
 find_resource (const LcResourceSet *set, LcResourceKind kind, const char *name)
 {
-  if (*resource_count_field (set, kind) == 0)
+  if (*find_count_field_of_kind (set, kind) == 0)
     return NULL;
-  return bsearch (name, *resource_array_field (set, kind), *resource_count_field (set, kind),
-                  kind_infos[kind].size, compare_resource_names);
+  return bsearch (name, *find_array_field_of_kind (set, kind),
+                  *find_count_field_of_kind (set, kind), kind_infos[kind].size,
+                  compare_resource_names);
 }
 
 static void
@@ -255,7 +256,7 @@
                             const char *where,
                             LbError *error)
 {
-  if (*resource_count_field (set, kind) < kind_infos[kind].max_count)
+  if (*find_count_field_of_kind (set, kind) < kind_infos[kind].max_count)
     return true;
   return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, where,
                        "expected at most %zu resources of this kind", kind_infos[kind].max_count);
@@ -271,10 +272,10 @@
   if (!parse_resource_kind (object, index, file, where, sizeof where, &kind, error)
       || !check_resource_count_limit (set, kind, where, error))
     return false;
-  size_t *count = resource_count_field (set, kind);
+  size_t *count = find_count_field_of_kind (set, kind);
   if (!parse_resource (object, kind,
-                       *resource_array_field (set, kind) + *count * kind_infos[kind].size, where,
-                       error))
+                       *find_array_field_of_kind (set, kind) + *count * kind_infos[kind].size,
+                       where, error))
     return false;
   (*count)++;
   return true;
@@ -285,12 +286,12 @@
 static size_t
 find_resource_position (const LcResourceSet *set, LcResourceKind kind, const char *name)
 {
-  size_t low = 0, high = *resource_count_field (set, kind);
+  size_t low = 0, high = *find_count_field_of_kind (set, kind);
 
   while (low < high)
     {
       size_t middle = (low + high) / 2;
-      if (strcmp (*resource_array_field (set, kind) + middle * kind_infos[kind].size, name) < 0)
+      if (strcmp (*find_array_field_of_kind (set, kind) + middle * kind_infos[kind].size, name) < 0)
         low = middle + 1;
       else
         high = middle;
@@ -301,8 +302,8 @@
 static bool
 has_resource_at (const LcResourceSet *set, LcResourceKind kind, size_t position, const char *name)
 {
-  return position < *resource_count_field (set, kind)
-         && strcmp (*resource_array_field (set, kind) + position * kind_infos[kind].size, name)
+  return position < *find_count_field_of_kind (set, kind)
+         && strcmp (*find_array_field_of_kind (set, kind) + position * kind_infos[kind].size, name)
                 == 0;
 }
 
@@ -317,12 +318,12 @@
   if (!parse_resource_kind (object, index, file, where, sizeof where, &kind, error))
     return false;
   size_t size = kind_infos[kind].size;
-  size_t *count = resource_count_field (set, kind);
+  size_t *count = find_count_field_of_kind (set, kind);
   char *item = lb_calloc (1, size);
   if (!parse_resource (object, kind, item, where, error))
     goto out;
   size_t position = find_resource_position (set, kind, item);
-  char *slot = *resource_array_field (set, kind) + position * size;
+  char *slot = *find_array_field_of_kind (set, kind) + position * size;
   if (!has_resource_at (set, kind, position, item))
     {
       if (!check_resource_count_limit (set, kind, where, error))
@@ -341,9 +342,9 @@
 lc_resource_set_remove_resource (LcResourceSet *set, LcResourceKind kind, const char *name)
 {
   size_t size = kind_infos[kind].size;
-  size_t *count = resource_count_field (set, kind);
+  size_t *count = find_count_field_of_kind (set, kind);
   size_t position = find_resource_position (set, kind, name);
-  char *slot = *resource_array_field (set, kind) + position * size;
+  char *slot = *find_array_field_of_kind (set, kind) + position * size;
 
   if (!has_resource_at (set, kind, position, name))
     return false;
@@ -359,9 +360,9 @@
                                  LbError *error)
 {
   char where[192];
-  const char *items = *resource_array_field (set, kind);
+  const char *items = *find_array_field_of_kind (set, kind);
 
-  for (size_t i = 1; i < *resource_count_field (set, kind); i++)
+  for (size_t i = 1; i < *find_count_field_of_kind (set, kind); i++)
     {
       const char *item = items + i * kind_infos[kind].size;
       if (strcmp (item - kind_infos[kind].size, item) != 0)
@@ -379,7 +380,7 @@
   size_t length = json_object_array_length (list);
 
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
-    *resource_array_field (set, kind)
+    *find_array_field_of_kind (set, kind)
         = lb_calloc (length < kind_infos[kind].max_count ? length : kind_infos[kind].max_count,
                      kind_infos[kind].size);
   for (size_t i = 0; i < length; i++)
@@ -387,7 +388,7 @@
       return false;
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
     {
-      qsort (*resource_array_field (set, kind), *resource_count_field (set, kind),
+      qsort (*find_array_field_of_kind (set, kind), *find_count_field_of_kind (set, kind),
              kind_infos[kind].size, compare_resource_names);
       if (!check_resource_names_are_unique (set, kind, file, error))
         return false;
@@ -481,8 +482,8 @@
   struct json_object *list = json_object_new_array ();
 
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
-    for (size_t i = 0; i < *resource_count_field (set, kind); i++)
-      json_object_array_add (list, resource_to_json (kind, *resource_array_field (set, kind)
+    for (size_t i = 0; i < *find_count_field_of_kind (set, kind); i++)
+      json_object_array_add (list, resource_to_json (kind, *find_array_field_of_kind (set, kind)
                                                                + i * kind_infos[kind].size));
   json_object_object_add (object, "revision", json_object_new_int64 (set->revision));
   json_object_object_add (object, "resources", list);
@@ -496,11 +497,11 @@
 
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
     {
-      size_t used = *resource_count_field (set, kind) * kind_infos[kind].size;
+      size_t used = *find_count_field_of_kind (set, kind) * kind_infos[kind].size;
       char *items = lb_malloc (used + room * kind_infos[kind].size);
       if (used > 0)
-        memcpy (items, *resource_array_field (set, kind), used);
-      *resource_array_field (copy, kind) = items;
+        memcpy (items, *find_array_field_of_kind (set, kind), used);
+      *find_array_field_of_kind (copy, kind) = items;
     }
   return copy;
 }
@@ -517,7 +518,7 @@
   if (!set)
     return;
   for (int kind = 0; kind < LC_N_RESOURCE_KINDS; kind++)
-    free (*resource_array_field (set, kind));
+    free (*find_array_field_of_kind (set, kind));
   free (set);
 }
 
--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -122,10 +122,10 @@
  * violation; the caller must not deliver the sample then. An unlabelled or stale sample is
  * generated again. */
 static bool
-check_delivery_invariants (LcRollouts *rollouts,
-                           LcStep *step,
-                           size_t slot_index,
-                           LcVersion trainer_version)
+check_sample_delivery_invariants (LcRollouts *rollouts,
+                                  LcStep *step,
+                                  size_t slot_index,
+                                  LcVersion trainer_version)
 {
   LcSlot *slot = &step->slots[slot_index];
   Invariant violated = N_INVARIANTS;
@@ -188,7 +188,7 @@
 }
 
 static void
-begin_chunk (LcStep *step, int64_t max_samples, LcVersion trainer_version)
+begin_empty_chunk (LcStep *step, int64_t max_samples, LcVersion trainer_version)
 {
   LcChunk *chunk = &step->chunk;
 
@@ -220,7 +220,7 @@
     return false;
   if (capacity > pull->max_samples)
     capacity = pull->max_samples;
-  begin_chunk (step, capacity, pull->trainer_version);
+  begin_empty_chunk (step, capacity, pull->trainer_version);
   for (size_t g = 0; g < step->spec.n_groups && (int64_t)step->chunk.n_slots < capacity; g++)
     {
       const LcGroup *group = &step->groups[g];
@@ -228,7 +228,7 @@
         continue;
       for (size_t i = group->first_slot; i < group->first_slot + group->n_slots; i++)
         if (step->slots[i].state == LC_SLOT_READY && (int64_t)step->chunk.n_slots < capacity
-            && check_delivery_invariants (rollouts, step, i, pull->trainer_version))
+            && check_sample_delivery_invariants (rollouts, step, i, pull->trainer_version))
           add_slot_to_chunk (step, i, pull->trainer_version);
     }
   if (step->chunk.n_slots == 0)
@@ -408,8 +408,8 @@
 }
 
 /* A cursor of a later session means that another instance took over the step while this instance
- * was paused or partitioned. This instance could repeat samples that the new owner has
- * delivered. */
+ * was paused or partitioned. If this instance continued the step, it could repeat samples that the
+ * new owner has delivered. */
 static bool
 is_cursor_from_later_owner (const LcStep *step, const LcCursor *cursor)
 {
@@ -466,7 +466,10 @@
 /* Writing and restoring the ledger row. */
 
 void
-lc_deliver_add_due_ledger_write (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
+lc_deliver_add_ledger_write_if_needed (LcRollouts *rollouts,
+                                       LcStep *step,
+                                       LbTime now,
+                                       LbList *actions)
 {
   if (lc_ledger_next_write_at (&step->ledger) > now
       || (step->closed_at && step->ledger.stored_change == step->ledger.latest_change))
--- a/packages/core/src/rollout/lc-deliver.h
+++ b/packages/core/src/rollout/lc-deliver.h
@@ -15,9 +15,11 @@
  * out. */
 void
 lc_deliver_answer_waiting_pulls (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions);
-/* Adds an action that writes the step's ledger row, if a write is due. */
-void
-lc_deliver_add_due_ledger_write (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions);
+/* Adds an action that writes the step's ledger row, if it is time for the next write. */
+void lc_deliver_add_ledger_write_if_needed (LcRollouts *rollouts,
+                                            LcStep *step,
+                                            LbTime now,
+                                            LbList *actions);
 /* Stops deliveries of the step until a new ledger write has confirmed its session. */
 void lc_deliver_require_session_check (LcStep *step);
 /* Marks the slots in the cursor of the step's ledger row as acknowledged. */
--- a/packages/core/src/rollout/lc-generate.h
+++ b/packages/core/src/rollout/lc-generate.h
@@ -5,7 +5,8 @@
 
 /* Schedules generations and scorings: chooses the next slot to run and builds its request. */
 
-/* Starts all scorings that are due, and generations up to each pool's concurrency limit. */
+/* Starts all scorings that need not wait for a retry, and generations up to each pool's concurrency
+ * limit. */
 void lc_generate_start_scorings_and_generations (LcRollouts *rollouts, LbTime now, LbList *actions);
 /* Starts a generation for the slot. For a hedge, original is the running job of the same slot;
  * otherwise NULL. */
--- a/packages/core/src/rollout/lc-ledger.h
+++ b/packages/core/src/rollout/lc-ledger.h
@@ -19,7 +19,8 @@
 } LcLedger;
 
 /* Functions that change an LcLedger. */
-/* Records that the row must be written; returns a change number for lc_ledger_has_stored_change. */
+/* Records that the row must be written, without a batching delay if urgent. Returns a change number
+ * for lc_ledger_has_stored_change. */
 uint64_t lc_ledger_add_change (LcLedger *ledger, bool urgent);
 void lc_ledger_begin_write (LcLedger *ledger, uint64_t write_id, LbTime now);
 /* Records the result of the write in progress. jitter: random number from 0 to 1 for the retry
--- a/packages/core/src/rollout/lc-result.c
+++ b/packages/core/src/rollout/lc-result.c
@@ -213,7 +213,7 @@
 /* Stores a complete sample in its slot. The first complete sample of a hedged pair wins: the other
  * request is cancelled, and an answer to it that is already in flight is ignored. */
 static void
-complete_sample (LcRollouts *rollouts, LcJob *job, char *text, LbTime now, LbList *actions)
+store_complete_sample (LcRollouts *rollouts, LcJob *job, char *text, LbTime now, LbList *actions)
 {
   LcStep *step = job->step;
   LcSlot *slot = lc_job_find_slot (job);
@@ -255,7 +255,7 @@
       end_unlabelled_job (rollouts, job, now);
       return;
     }
-  complete_sample (rollouts, job, text, now, actions);
+  store_complete_sample (rollouts, job, text, now, actions);
 }
 
 void
--- a/packages/core/src/rollout/lc-result.h
+++ b/packages/core/src/rollout/lc-result.h
@@ -3,7 +3,7 @@
 
 #include "lc-job.h"
 
-/* Processes results of engines and scorers. */
+/* Records the results of engines and scorers in the slots of a step. */
 
 void lc_result_add_generated_piece (LcRollouts *rollouts,
                                     LcJob *job,
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -190,11 +190,11 @@
 answer_pulls_and_start_requests (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
   lc_deliver_answer_waiting_pulls (rollouts, step, now, actions);
-  lc_deliver_add_due_ledger_write (rollouts, step, now, actions);
+  lc_deliver_add_ledger_write_if_needed (rollouts, step, now, actions);
   lc_generate_start_scorings_and_generations (rollouts, now, actions);
 }
 
-/* Configuration of this owner of steps. */
+/* Functions that configure an LcRollouts. */
 
 void
 lc_rollouts_set_request_id_source (LcRollouts *rollouts,
@@ -557,8 +557,8 @@
   free_deferred_memory_and_detect_pause (rollouts, now);
   if (!step)
     return;
-  /* Another instance has taken over the step, and may deliver the samples that this instance still
-   * has. */
+  /* These errors mean that another instance has taken over the step, and may deliver the samples
+   * that this instance still has. */
   if (error == LB_ERROR_CONDITION_FAILED || error == LB_ERROR_STALE_SESSION)
     {
       lc_rollouts_abort_step (rollouts, step->spec.subscription, step->spec.step, now, actions);
@@ -612,7 +612,7 @@
     if (step->retry_at <= now)
       step->retry_at = LB_TIME_NEVER;
     lc_deliver_answer_waiting_pulls (rollouts, step, now, actions);
-    lc_deliver_add_due_ledger_write (rollouts, step, now, actions);
+    lc_deliver_add_ledger_write_if_needed (rollouts, step, now, actions);
   }
   lc_generate_start_scorings_and_generations (rollouts, now, actions);
   LB_LIST_FOREACH (&rollouts->steps, LcStep, link, open_step)
--- a/packages/core/src/rollout/lc-step.h
+++ b/packages/core/src/rollout/lc-step.h
@@ -79,8 +79,8 @@
   uint64_t ledger_change;
 } LcChunk;
 
-/* Memory blocks that actions of the current call may point to. The next call that changes the
- * owner's state frees them. */
+/* Unused memory blocks that actions of the current LcRollouts call may still point to. The next
+ * call that changes the LcRollouts frees the blocks. */
 typedef struct
 {
   void **items;
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -240,7 +240,7 @@
 /* Adds the windows that are not known yet. Every window from the first one in the store to the
  * current one must be reported. */
 static void
-add_missing_windows (LcUsageReports *reports, int64_t current)
+add_unknown_windows_up_to_current (LcUsageReports *reports, int64_t current)
 {
   if (reports->first_window < 0)
     reports->first_window = current;
@@ -279,11 +279,11 @@
 }
 
 static bool
-next_window_action_type (const LcUsageReports *reports,
-                         const Window *window,
-                         int64_t true_ms,
-                         LbTime now,
-                         LcUsageActionType *type)
+get_next_window_action_type (const LcUsageReports *reports,
+                             const Window *window,
+                             int64_t true_ms,
+                             LbTime now,
+                             LcUsageActionType *type)
 {
   switch (window->state)
     {
@@ -306,7 +306,7 @@
 }
 
 static bool
-next_read_reports_action (LcUsageReports *reports, LbTime now, LcUsageAction *action)
+begin_reading_recorded_reports (LcUsageReports *reports, LbTime now, LcUsageAction *action)
 {
   if (reports->is_reading || now < reports->next_read_at)
     return false;
@@ -326,8 +326,8 @@
   if (!reports->has_duty)
     return false;
   if (!reports->has_read)
-    return next_read_reports_action (reports, now, action);
-  add_missing_windows (reports, current);
+    return begin_reading_recorded_reports (reports, now, action);
+  add_unknown_windows_up_to_current (reports, current);
   remove_windows_before_first (reports);
   for (int64_t window_number = reports->first_window; window_number <= current; window_number++)
     {
@@ -335,7 +335,7 @@
       LcUsageActionType type;
 
       if (window->has_pending_action || now < window->retry_at
-          || !next_window_action_type (reports, window, true_ms, now, &type))
+          || !get_next_window_action_type (reports, window, true_ms, now, &type))
         continue;
       window->has_pending_action = true;
       *action = (LcUsageAction){ .type = type, .window = window_number, .text = window->text };
--- a/packages/core/src/weights/lc-engine-plan.c
+++ b/packages/core/src/weights/lc-engine-plan.c
@@ -152,7 +152,7 @@
 }
 
 static void
-append_entries (LcEnginePlan *plan, const LcPlanEntry *entries, size_t n_entries)
+append_plan_entries (LcEnginePlan *plan, const LcPlanEntry *entries, size_t n_entries)
 {
   plan->entries
       = lb_realloc (plan->entries, (plan->n_entries + n_entries + 1) * sizeof *plan->entries);
@@ -166,7 +166,7 @@
   memset (part, 0, sizeof *part);
   for (size_t i = 0; i < plan->n_entries; i++)
     if (plan_part_index_of_engine (plan->entries[i].engine) == index)
-      append_entries (part, &plan->entries[i], 1);
+      append_plan_entries (part, &plan->entries[i], 1);
 }
 
 static int
@@ -181,7 +181,7 @@
   memset (plan, 0, sizeof *plan);
   for (size_t i = 0; i < LC_ENGINE_PLAN_PARTS; i++)
     if (parts[i].n_entries > 0)
-      append_entries (plan, parts[i].entries, parts[i].n_entries);
+      append_plan_entries (plan, parts[i].entries, parts[i].n_entries);
   if (plan->n_entries > 0)
     qsort (plan->entries, plan->n_entries, sizeof *plan->entries, compare_engine_names);
 }
--- a/packages/core/src/weights/lc-weights.c
+++ b/packages/core/src/weights/lc-weights.c
@@ -365,7 +365,7 @@
 }
 
 static void
-set_unknown_if_report_is_old (const LcWeights *weights, Engine *engine, LbTime now)
+set_engine_unknown_if_report_is_old (const LcWeights *weights, Engine *engine, LbTime now)
 {
   if (now - engine->last_report_at > weights->settings.report_timeout)
     set_engine_state (engine, ENGINE_UNKNOWN, now);
@@ -393,7 +393,9 @@
  * has not reported since the lease was gained. Ends after first_report_timeout: engines that load
  * do report, and those that never answer would otherwise keep all others from loading. */
 static bool
-may_be_swapping (const LcWeights *weights, const Engine *engine, LbTime now)
+may_be_swapping_for_earlier_lease_holder (const LcWeights *weights,
+                                          const Engine *engine,
+                                          LbTime now)
 {
   return engine->state == ENGINE_UNKNOWN && engine->last_report_at < weights->lease_changed_at
          && now - weights->lease_changed_at < weights->settings.first_report_timeout;
@@ -409,7 +411,8 @@
       pool->capacity += engine->member.concurrency;
       pool->failed += engine->failures > 0;
       pool->reported_failed += engine->target_failed;
-      pool->swapping += engine->state == ENGINE_SWAPPING || may_be_swapping (weights, engine, now);
+      pool->swapping += engine->state == ENGINE_SWAPPING
+                        || may_be_swapping_for_earlier_lease_holder (weights, engine, now);
       pool->unknown += engine->state == ENGINE_UNKNOWN;
       if (engine->state == ENGINE_SERVING)
         {
@@ -466,7 +469,7 @@
 }
 
 static bool
-needs_target_load (const LcWeights *weights, const Engine *engine)
+needs_load_of_target_version (const LcWeights *weights, const Engine *engine)
 {
   return engine->report.version != weights->target && !engine->report.leaving
          && (engine->state == ENGINE_SERVING || engine->state == ENGINE_EMPTY);
@@ -507,7 +510,7 @@
                                : (pool->unknown > 0 ? LC_WEIGHTS_STATE_UNKNOWN : LC_WEIGHTS_IDLE);
   for (Engine *engine = weights->engines; engine; engine = engine->hh.next)
     {
-      if (!needs_target_load (weights, engine))
+      if (!needs_load_of_target_version (weights, engine))
         continue;
       if (halted && !engine->target_failed)
         {
@@ -570,7 +573,7 @@
 
   refill_order_rate_limit_tokens (weights, now);
   for (engine = weights->engines; engine; engine = engine->hh.next)
-    set_unknown_if_report_is_old (weights, engine, now);
+    set_engine_unknown_if_report_is_old (weights, engine, now);
   weights->wait_reason = LC_WEIGHTS_IDLE;
   if (weights->target <= 0)
     return;
