--- a/packages/node/tests/node-fixture.h
+++ b/packages/node/tests/node-fixture.h
@@ -25,8 +25,9 @@
 
 #define FIXTURE_TIMEOUT (20 * LB_SEC)
 
-/* Runs the front and calls tasks in the test process. The test acts as the callers and endpoints at
- * the other ends of all sockets, and runs the event loop itself. */
+/* Runs the tasks "front" (HTTP front end) and "calls" (dispatch of calls to endpoints) of an
+ * instance in the test process. The test acts as the callers and endpoints at the other ends of
+ * all sockets, and runs the event loop itself. */
 typedef struct
 {
   struct event_base *base;
@@ -118,7 +119,8 @@
   return to;
 }
 
-/* Returns a listening socket and sets its address. */
+/* Opens a listening socket on a free loopback port, stores its IP:PORT in `address` and returns
+ * the socket. */
 static inline int
 fixture_open_listener (LbName address)
 {
@@ -227,9 +229,9 @@
   free (text);
 }
 
-/* Accepts the next call at the endpoint's listener; false if none has arrived yet. Also answers
- * load polls, since the daemon sends no work to an endpoint without a load report, and closes the
- * connections of polls for cache events. */
+/* Accepts the next call at the endpoint's listener; returns false if no complete request header
+ * has arrived yet. Also answers load polls, since the daemon sends no work to an endpoint
+ * without a load report, and closes connections that poll for cache events. */
 static inline bool
 endpoint_try_accept_call (int listener, Peer *peer)
 {
@@ -337,7 +339,7 @@
   json_object_object_add (object, "revision", json_object_new_int (1));
   json_object_object_add (object, "resources", resources);
   message.set = lc_resource_set_from_json (object, "test", &error);
-  cr_assert (message.set, "%s %s", error.where, error.detail);
+  cr_assert (message.set, "invalid resource set: %s %s", error.where, error.detail);
   json_object_put (object);
   ln_post (f->context.hub, NULL, &message.base, sizeof message);
   fixture_run_loop_once (f);
--- a/packages/node/tests/steps-fixture.h
+++ b/packages/node/tests/steps-fixture.h
@@ -37,8 +37,8 @@
   int n_writes;
 } FaultyStore;
 
-/* Replaces the task "calls". Answers each sample request at once with ten tokens, or holds the
- * request until the test answers it. */
+/* Replaces the task "calls", which sends sample requests to engines. Answers each sample request
+ * at once with ten tokens, or holds it until the test answers it. */
 typedef struct
 {
   LnTask task; /* must be the first member */
@@ -56,7 +56,7 @@
   FakeCalls calls;
   LnTask *front;
   LnTask *rollouts;
-  bool alive; /* reported to both instances as the liveness of this instance */
+  bool alive; /* whether the member lists sent to both instances report this one as alive */
   bool draining;
 } Instance;
 
@@ -67,13 +67,13 @@
   FaultyStore store;
   Instance instances[2];
   struct LhPool *http;
-  /* State of the trainer. */
+  /* State of the simulated trainer, whose calls the test sends. */
   char *cursor;
   int received[MAX_SAMPLES]; /* number of times that each sample was delivered */
   int status;                /* HTTP status of the last reply */
   char *reply;               /* body of the last reply */
   int n_pending;             /* number of calls without a reply */
-  bool strict;               /* value of LcSubscription.strict for the subscription */
+  bool strict; /* the subscription records samples in the store before it delivers them */
 } Cluster;
 
 static inline void faulty_store_transact (LpPlatform *platform,
@@ -197,7 +197,7 @@
                                                     .get_object = faulty_store_get_object };
 
 static inline void
-fake_calls_post_piece (FakeCalls *calls, LcRequestId request)
+fake_calls_post_ten_tokens (FakeCalls *calls, LcRequestId request)
 {
   LnSamplePieceMessage piece = { .base = LN_MESSAGE (LN_SAMPLE_PIECE),
                                  .request = request,
@@ -208,7 +208,7 @@
 }
 
 static inline void
-fake_calls_post_done (FakeCalls *calls, LcRequestId request)
+fake_calls_post_sample_done (FakeCalls *calls, LcRequestId request)
 {
   LnSampleDoneMessage done = { .base = LN_MESSAGE (LN_SAMPLE_DONE), .request = request };
 
@@ -232,8 +232,8 @@
     calls->held[calls->n_held++] = request;
   else
     {
-      fake_calls_post_piece (calls, request);
-      fake_calls_post_done (calls, request);
+      fake_calls_post_ten_tokens (calls, request);
+      fake_calls_post_sample_done (calls, request);
     }
 }
 
@@ -404,7 +404,7 @@
 }
 
 static inline void
-cluster_send_call (Cluster *cluster, size_t instance, const char *subpath, const char *body)
+cluster_send_step_call (Cluster *cluster, size_t instance, const char *subpath, const char *body)
 {
   cluster_send_subscription_call (cluster, instance, "t", subpath, body);
 }
@@ -412,7 +412,7 @@
 static inline void
 cluster_send_open_step (Cluster *cluster, size_t instance)
 {
-  cluster_send_call (
+  cluster_send_step_call (
       cluster, instance, "steps",
       "{\"step\":1,\"weight_version\":40,\"groups\":["
       "{\"id\":\"g0\",\"prompt\":\"Read this smudged envelope and name the village of its "
@@ -434,7 +434,7 @@
                             "\"max_samples\":%d,\"wait_ms\":%d}",
                             cluster->cursor, max_samples, wait_ms);
 
-  cluster_send_call (cluster, instance, "pull", body);
+  cluster_send_step_call (cluster, instance, "pull", body);
   free (body);
 }
 
--- a/packages/node/tests/test-calls.c
+++ b/packages/node/tests/test-calls.c
@@ -31,8 +31,8 @@
   fixture_clear (&s->f);
 }
 
-/* Accepts the call at the engine that the daemon chose, and reads the attempt's id. Returns the
- * index of the engine. */
+/* Accepts the call at the engine to which the daemon sent it and stores the request's id.
+ * Returns the index of that engine. */
 static int
 accept_call_at_chosen_engine (Setup *s, Peer *peer, char id[96])
 {
@@ -50,7 +50,7 @@
   return chosen;
 }
 
-Test (calls, stream_is_forwarded_without_the_attempts_id)
+Test (calls, stream_is_forwarded_without_the_engines_request_id)
 {
   Setup s;
   Peer caller, engine;
@@ -94,9 +94,11 @@
   endpoint_send_token (&engine, id, 0, " one", true);
   endpoint_send_stream_end (&engine);
   FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&caller));
-  cr_assert_not (strstr (caller.text, "chunked"), "%s", caller.text);
-  cr_assert_not (strstr (caller.text, "Content-Length"), "%s", caller.text);
-  cr_assert (strstr (caller.text, "\r\n\r\ndata: {"), "%s", caller.text);
+  cr_assert_not (strstr (caller.text, "chunked"), "expected no chunked reply, got %s", caller.text);
+  cr_assert_not (strstr (caller.text, "Content-Length"), "expected no Content-Length, got %s",
+                 caller.text);
+  cr_assert (strstr (caller.text, "\r\n\r\ndata: {"), "expected an event after the header, got %s",
+             caller.text);
   cr_assert_str_eq (caller.text + caller.length - strlen ("data: [DONE]\n\n"), "data: [DONE]\n\n");
   peer_close (&engine);
   peer_close (&caller);
@@ -118,7 +120,8 @@
   endpoint_send_token (&engine, id, 1, " two", true);
   endpoint_send_stream_end (&engine);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "completion_tokens"));
-  cr_assert (strstr (caller.text, "\"text\":\" one two\""), "%s", caller.text);
+  cr_assert (strstr (caller.text, "\"text\":\" one two\""), "expected text ' one two', got %s",
+             caller.text);
   cr_assert (strstr (caller.text, "x-weight-versions: 40"));
   cr_assert (strstr (caller.text, "\"completion_tokens\":2"));
   peer_close (&engine);
@@ -148,9 +151,9 @@
   setup_clear (&s);
 }
 
-/* The caller disconnects in the loop iteration in which its answer ends, so LN_CALLER_DISCONNECTED
- * is queued while the exchange is replied to. The exchange must not be freed before the queued
- * message is handled. */
+/* The caller disconnects in the loop iteration in which its answer ends, so the message
+ * LN_CALLER_DISCONNECTED is queued while the reply is completed. The state of the call (the
+ * exchange) must not be freed before that message is handled. */
 Test (calls, caller_disconnect_while_the_answer_ends_does_not_crash)
 {
   Setup s;
@@ -174,7 +177,8 @@
 }
 
 /* An engine or a proxy mixes up two streams, so a caller would read another caller's answer. An
- * event with the id of another attempt ends the attempt, and the text of the event is dropped. */
+ * event whose id is not that of the request ends the stream, and the text of the event is
+ * dropped. */
 Test (calls, event_with_another_requests_id_is_dropped)
 {
   Setup s;
@@ -189,7 +193,8 @@
   endpoint_send_token (&engine, "other-1.1", 0, " secret", false);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "error"));
   cr_assert_not (strstr (caller.text, "secret"));
-  cr_assert (strstr (caller.text, "outcome_unknown"), "%s", caller.text);
+  cr_assert (strstr (caller.text, "outcome_unknown"), "expected outcome_unknown, got %s",
+             caller.text);
   FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&engine));
   peer_close (&engine);
   peer_close (&caller);
@@ -198,7 +203,7 @@
 
 /* An engine sends an event whose id is null. Comparing the null id as a string crashed the instance
  * with all its streams. */
-Test (calls, event_with_a_null_id_ends_the_attempt)
+Test (calls, event_with_a_null_id_ends_the_call_as_outcome_unknown)
 {
   Setup s;
   Peer caller, engine;
@@ -219,7 +224,7 @@
 
 /* An engine replies with an error whose type is null. That is not a refusal, so it does not prove
  * that the call did not start. */
-Test (calls, error_reply_with_a_null_type_may_have_run)
+Test (calls, call_may_have_run_after_an_error_reply_with_a_null_type)
 {
   Setup s;
   Peer caller, engine;
@@ -242,9 +247,9 @@
 }
 
 /* A middlebox drops the state of the connection to the engine in the middle of the answer, so
- * nothing more arrives. After stream_silence_ms without even a keep-alive, the attempt counts as
- * broken. The stream is resumed at its last offset on a new connection, so that the caller gets the
- * complete answer. */
+ * nothing more arrives. After stream_silence_ms without even a keep-alive, the connection counts
+ * as broken. The stream is resumed at its last offset on a new connection, so that the caller
+ * gets the complete answer. */
 Test (calls, silent_stream_is_resumed_at_its_last_offset)
 {
   Setup s;
@@ -266,7 +271,8 @@
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, " one"));
   accept_call_at_chosen_engine (&s, &resumed, id);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&resumed, "\"offset\":1"));
-  cr_assert (strstr (resumed.text, "\"text\":\" one\""), "%s", resumed.text);
+  cr_assert (strstr (resumed.text, "\"text\":\" one\""),
+             "expected the received text ' one', got %s", resumed.text);
   endpoint_send_stream_head (&resumed);
   endpoint_send_token (&resumed, id, 1, " two", true);
   endpoint_send_stream_end (&resumed);
@@ -314,7 +320,8 @@
   caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\nx-deadline-ms: 1000\r\n",
                     COMPLETION_BODY (""));
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "not_run"));
-  cr_assert (strstr (caller.text, "\"not_run\":true"), "%s", caller.text);
+  cr_assert (strstr (caller.text, "\"not_run\":true"), "expected not_run true, got %s",
+             caller.text);
   cr_assert (strstr (caller.text, "x-not-run: 1"));
   peer_close (&caller);
   setup_clear (&s);
@@ -335,7 +342,8 @@
   int chosen = accept_call_at_chosen_engine (&s, &engine, id);
   peer_close (&engine);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
-  cr_assert (strstr (caller.text, "\"not_run\":false"), "%s", caller.text);
+  cr_assert (strstr (caller.text, "\"not_run\":false"), "expected not_run false, got %s",
+             caller.text);
   cr_assert_not (strstr (caller.text, "x-not-run"));
   cr_assert_not (endpoint_try_accept_call (s.listener[1 - chosen], &other));
   peer_close (&caller);
@@ -430,7 +438,8 @@
   free (((LnMembersMessage *)message)->members);
 }
 
-/* Posts four members: this instance, a live one, a suspected one and a draining one. */
+/* Sends the tasks a member list of four instances: this one, a live one, a suspected one and a
+ * draining one. */
 static void
 post_members_of_four_instances (Setup *s)
 {
@@ -472,7 +481,8 @@
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&late, "draining"));
   cr_assert (strstr (late.text, "x-not-run: 1"));
   cr_assert (strstr (late.text, "x-entry-stale: 1"));
-  cr_assert (strstr (late.text, "x-entry: 10.0.0.2:80\r\n"), "%s", late.text);
+  cr_assert (strstr (late.text, "x-entry: 10.0.0.2:80\r\n"), "expected entry 10.0.0.2:80, got %s",
+             late.text);
   FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&late));
   cr_assert_not (ln_hub_is_idle (s.f.context.hub));
   endpoint_send_token (&engine, id, 1, " two", true);
@@ -485,7 +495,8 @@
   setup_clear (&s);
 }
 
-/* Sends as much of the text as the socket accepts; returns true when the whole text was sent. */
+/* Sends as much of the text after its first *sent bytes as the socket accepts, and adds the
+ * number of bytes sent to *sent; returns true when the whole text was sent. */
 static bool
 send_available_bytes (Peer *peer, const char *text, size_t length, size_t *sent)
 {
@@ -596,7 +607,8 @@
                     "x-shop: saigon\r\nContent-Type: application/x-www-form-urlencoded\r\n", "a=b");
   endpoint_accept_call (&f, listener, &service);
   FIXTURE_WAIT_UNTIL (&f, peer_has_received (&service, "a=b"));
-  cr_assert (strstr (service.text, "POST /orders?shop=4 HTTP/1.1"), "%s", service.text);
+  cr_assert (strstr (service.text, "POST /orders?shop=4 HTTP/1.1"),
+             "expected path /orders?shop=4, got %s", service.text);
   cr_assert (strstr (service.text, "x-shop: saigon"));
   peer_send (&service, "HTTP/1.1 418 Teapot\r\nx-kind: short\r\nContent-Length: 5\r\n\r\nstout");
   FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "stout"));
--- a/packages/node/tests/test-steps.c
+++ b/packages/node/tests/test-steps.c
@@ -13,9 +13,10 @@
   cr_assert (strstr (cluster->reply, "\"durable\":true"));
   cr_assert_eq (cluster_pull_samples (cluster, 1, 2), 2);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
-  cluster_send_call (cluster, 1, "steps/1", NULL);
+  cluster_send_step_call (cluster, 1, "steps/1", NULL);
   CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
-  cr_assert (strstr (cluster->reply, "\"delivered\":4"), "unexpected reply: %s", cluster->reply);
+  cr_assert (strstr (cluster->reply, "\"delivered\":4"), "expected 4 delivered, got %s",
+             cluster->reply);
   cluster_expect_each_sample_once (cluster);
   cr_assert_eq (cluster->instances[1].calls.n_samples, 0);
   cr_assert_eq (cluster->instances[0].calls.n_prefix_hashes, 1);
@@ -37,7 +38,7 @@
 
   for (size_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
     {
-      cluster_send_call (cluster, 0, bad[i].subpath, bad[i].body);
+      cluster_send_step_call (cluster, 0, bad[i].subpath, bad[i].body);
       CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
       cr_assert (strstr (cluster->reply, bad[i].type), "expected the error %s, got: %s",
                  bad[i].type, cluster->reply);
@@ -55,8 +56,8 @@
   cluster_send_subscription_call (cluster, 0, "tt", "pull",
                                   "{\"step\":9,\"cursor\":\"\",\"weight_version\":1}");
   CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
-  cr_assert (strstr (cluster->reply, "unknown_subscription"), "unexpected reply: %s",
-             cluster->reply);
+  cr_assert (strstr (cluster->reply, "unknown_subscription"),
+             "expected unknown_subscription, got %s", cluster->reply);
   cluster_free (cluster);
 }
 
@@ -72,15 +73,16 @@
   cluster_send_members (cluster);
   cr_assert_eq (cluster_pull_samples (cluster, 1, 4), 2);
   cluster_expect_each_sample_once (cluster);
-  cluster_send_call (cluster, 1, "steps/1", NULL);
+  cluster_send_step_call (cluster, 1, "steps/1", NULL);
   CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
-  cr_assert (strstr (cluster->reply, "\"session\":2"), "unexpected reply: %s", cluster->reply);
+  cr_assert (strstr (cluster->reply, "\"session\":2"), "expected session 2, got %s",
+             cluster->reply);
   cluster_free (cluster);
 }
 
 /* An owner that was wrongly considered dead and replaced receives the trainer's next pull. The
- * cursor names a later session, so the replaced owner must relay the pull to the owner of that
- * session. */
+ * cursor contains a later session (the number of claims of the step), so the replaced owner must
+ * relay the pull to the owner of that session. */
 Test (steps, replaced_owner_relays_a_pull_with_a_later_session)
 {
   Cluster *cluster = cluster_new (false);
@@ -126,7 +128,8 @@
   cluster->store.mode = STORE_LOSES_REPLY;
   cluster_open_step (cluster, 0);
   cr_assert_eq (cluster->status, 202, "expected status 202, got the reply: %s", cluster->reply);
-  cr_assert (strstr (cluster->reply, "\"durable\":true"), "unexpected reply: %s", cluster->reply);
+  cr_assert (strstr (cluster->reply, "\"durable\":true"), "expected durable true, got %s",
+             cluster->reply);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
   cluster_expect_each_sample_once (cluster);
@@ -143,7 +146,8 @@
   cluster->store.mode = STORE_UNAVAILABLE;
   cluster_open_step (cluster, 0);
   cr_assert_eq (cluster->status, 202, "expected status 202, got the reply: %s", cluster->reply);
-  cr_assert (strstr (cluster->reply, "\"durable\":false"), "unexpected reply: %s", cluster->reply);
+  cr_assert (strstr (cluster->reply, "\"durable\":false"), "expected durable false, got %s",
+             cluster->reply);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
   int n_writes = cluster->store.n_writes;
   cluster->store.mode = STORE_WORKS;
@@ -178,7 +182,7 @@
 } OwnerResult;
 
 static void
-on_owner_result (LbErrorCode error, const LnStepOwner *owner, void *user)
+on_owner_received (LbErrorCode error, const LnStepOwner *owner, void *user)
 {
   *(OwnerResult *)user = (OwnerResult){ .n_replies = 1, .error = error, .owner = *owner };
 }
@@ -198,7 +202,7 @@
     {
       stores[i] = ln_step_store_new (&cluster->instances[i].context);
       result.n_replies = 0;
-      ln_step_store_claim_step (stores[i], &key, &nobody, "{}", on_owner_result, &result);
+      ln_step_store_claim_step (stores[i], &key, &nobody, "{}", on_owner_received, &result);
       CLUSTER_WAIT_UNTIL (cluster, result.n_replies == 1);
       cr_assert_eq (result.error, i == 0 ? LB_OK : LB_ERROR_CONDITION_FAILED);
     }
@@ -232,7 +236,7 @@
   faulty_store_transact (&cluster->store.platform, &transaction, LP_PRIORITY_LEDGER,
                          expect_put_succeeded, &done);
   CLUSTER_WAIT_UNTIL (cluster, done);
-  ln_step_store_read_owner (store, &key, on_owner_result, &result);
+  ln_step_store_read_owner (store, &key, on_owner_received, &result);
   CLUSTER_WAIT_UNTIL (cluster, result.n_replies == 1);
   cr_assert_eq (result.error, LB_OK);
   cr_assert_str_empty (result.owner.instance);
@@ -257,20 +261,21 @@
   cluster_open_step (cluster, 0);
   CLUSTER_WAIT_UNTIL (cluster, first->calls.n_held == 4);
   for (size_t i = 0; i < 4; i++)
-    fake_calls_post_piece (&first->calls, first->calls.held[i]);
-  fake_calls_post_done (&first->calls, first->calls.held[0]);
+    fake_calls_post_ten_tokens (&first->calls, first->calls.held[i]);
+  fake_calls_post_sample_done (&first->calls, first->calls.held[0]);
   for (int i = 0; i < 10; i++)
     cluster_run_event_loop_once (cluster);
   first->draining = true;
   cluster_send_members (cluster);
   ln_hub_drain (first->context.hub);
   cluster_send_pull (cluster, 0, 4, 5000);
-  /* Waits for several drain ticks, which must not release the step while samples are generated. */
+  /* Waits for several ticks of the drain, none of which may release the step while samples are
+   * generated. */
   LbTime until = lb_clock_monotonic () + 300 * LB_MSEC;
   CLUSTER_WAIT_UNTIL (cluster, lb_clock_monotonic () > until);
   cr_assert_not (ln_hub_is_idle (first->context.hub));
   for (size_t i = 1; i < 4; i++)
-    fake_calls_post_done (&first->calls, first->calls.held[i]);
+    fake_calls_post_sample_done (&first->calls, first->calls.held[i]);
   CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
   cluster_record_samples (cluster);
   CLUSTER_WAIT_UNTIL (cluster, ln_hub_is_idle (first->context.hub));
