--- a/packages/node/tests/test-crashes.c
+++ b/packages/node/tests/test-crashes.c
@@ -11,7 +11,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define BAD_REQUEST 7  /* fingerprint of a request under which endpoints crash */
+#define BAD_REQUEST 7  /* fingerprint of a request that crashes endpoints */
 #define GOOD_REQUEST 8 /* fingerprint of a request that an endpoint answers */
 #define MAX_ROWS 32
 #define STORE_START_MS 5000000 /* the store's clock at the start of a test */
@@ -117,7 +117,7 @@
 }
 
 static int64_t
-fake_store_ms (const LpPlatform *platform)
+fake_store_clock_ms (const LpPlatform *platform)
 {
   return ((const Store *)platform)->now_ms;
 }
@@ -126,9 +126,10 @@
                                              .transact = fake_transact,
                                              .list = fake_list,
                                              .watch = fake_watch,
-                                             .store_clock_ms = fake_store_ms };
+                                             .store_clock_ms = fake_store_clock_ms };
 
-/* Replaces the peers task: counts the frames that it is asked to send and keeps the last one. */
+/* Replaces the task "peers", which sends frames to other instances: counts the frames and keeps
+ * the last one. */
 typedef struct
 {
   LnTask task;
@@ -158,7 +159,7 @@
 static const LnTaskClass peers_class
     = { .name = "peers", .receive = fake_peers_receive, .free = fake_peers_free };
 
-/* The parts of an instance that handle crashes of endpoints. */
+/* The parts of an instance that share and count crashes of endpoints. */
 typedef struct
 {
   LnContext context;
@@ -197,7 +198,7 @@
 }
 
 static void
-tick_crashes (Instance *instance)
+tick_crash_reports (Instance *instance)
 {
   ln_crashes_tick (instance->crashes, lb_clock_monotonic ());
 }
@@ -219,10 +220,10 @@
   struct event_base *base;
   Store store;
   Instance a, b;
-} World;
+} Cluster;
 
 static void
-world_init (World *w)
+cluster_init (Cluster *w)
 {
   memset (w, 0, sizeof *w);
   w->base = event_base_new ();
@@ -230,12 +231,12 @@
   w->store.now_ms = STORE_START_MS;
   instance_init (&w->a, w->base, &w->store.platform, "a");
   instance_init (&w->b, w->base, &w->store.platform, "b");
-  tick_crashes (&w->a);
-  tick_crashes (&w->b);
+  tick_crash_reports (&w->a);
+  tick_crash_reports (&w->b);
 }
 
 static void
-world_clear (World *w)
+cluster_clear (Cluster *w)
 {
   instance_clear (&w->a);
   instance_clear (&w->b);
@@ -247,86 +248,86 @@
   event_base_free (w->base);
 }
 
-/* Three endpoints crash under one request that went to two instances. Neither instance has seen
- * enough crashes alone, but both quarantine the request, and so does an instance that starts
- * afterwards. */
+/* Three endpoints crash while they run the same request, which went to two instances. Neither
+ * instance has seen enough crashes alone, but both quarantine the request, and so does an
+ * instance that starts afterwards. */
 Test (crashes, reports_are_shared_through_the_store)
 {
-  World w;
+  Cluster w;
   Instance fresh;
 
-  world_init (&w);
+  cluster_init (&w);
   report_crash (&w.a, "e1", BAD_REQUEST);
   report_crash (&w.b, "e2", BAD_REQUEST);
   report_crash (&w.a, "e3", BAD_REQUEST);
-  tick_crashes (&w.a);
-  tick_crashes (&w.b);
+  tick_crash_reports (&w.a);
+  tick_crash_reports (&w.b);
   cr_assert (is_quarantined (&w.a, BAD_REQUEST));
   cr_assert (is_quarantined (&w.b, BAD_REQUEST));
   cr_assert_eq (w.a.peers->n_frames + w.b.peers->n_frames, 0,
                 "expected no frames, as the platform has watches");
   instance_init (&fresh, w.base, &w.store.platform, "a");
-  tick_crashes (&fresh);
+  tick_crash_reports (&fresh);
   cr_assert (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
-  world_clear (&w);
+  cluster_clear (&w);
 }
 
 /* The store is unavailable while endpoints crash. The reports are written once the store is
  * available again. */
 Test (crashes, reports_are_written_when_the_store_is_back)
 {
-  World w;
+  Cluster w;
 
-  world_init (&w);
+  cluster_init (&w);
   w.store.is_unavailable = true;
   report_crash (&w.a, "e1", BAD_REQUEST);
   report_crash (&w.a, "e2", BAD_REQUEST);
   report_crash (&w.a, "e3", BAD_REQUEST);
-  tick_crashes (&w.a);
+  tick_crash_reports (&w.a);
   cr_assert (is_quarantined (&w.a, BAD_REQUEST));
   cr_assert_eq (w.store.n_rows, 0);
   w.store.is_unavailable = false;
-  tick_crashes (&w.a);
+  tick_crash_reports (&w.a);
   cr_assert_eq (w.store.n_rows, 3);
   usleep (150000);
-  tick_crashes (&w.b);
-  tick_crashes (&w.b);
+  tick_crash_reports (&w.b);
+  tick_crash_reports (&w.b);
   cr_assert (is_quarantined (&w.b, BAD_REQUEST));
-  world_clear (&w);
+  cluster_clear (&w);
 }
 
-/* Times of reports are by the store's clock, since the clocks of instances differ: expired reports
- * do not count for an instance that starts now. */
+/* An instance that starts must ignore crash reports that have expired. Their age is computed
+ * with the store's clock, since the clocks of instances differ. */
 Test (crashes, expired_reports_do_not_count)
 {
-  World w;
+  Cluster w;
   Instance fresh;
 
-  world_init (&w);
+  cluster_init (&w);
   report_crash (&w.a, "e1", BAD_REQUEST);
   report_crash (&w.a, "e2", BAD_REQUEST);
   report_crash (&w.a, "e3", BAD_REQUEST);
   w.store.now_ms += lc_quarantine_report_lifetime () / LB_MSEC - 1000;
   instance_init (&fresh, w.base, &w.store.platform, "c");
-  tick_crashes (&fresh);
+  tick_crash_reports (&fresh);
   cr_assert (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
   w.store.now_ms += 2000;
   instance_init (&fresh, w.base, &w.store.platform, "c");
-  tick_crashes (&fresh);
+  tick_crash_reports (&fresh);
   cr_assert_not (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
-  world_clear (&w);
+  cluster_clear (&w);
 }
 
 /* Guards against a store that fills with expired reports, since the store never deletes rows by
  * itself. */
 Test (crashes, expired_rows_are_removed)
 {
-  World w;
+  Cluster w;
 
-  world_init (&w);
+  cluster_init (&w);
   report_crash (&w.a, "e1", BAD_REQUEST);
   cr_assert_not_null (w.store.rows[0].value);
   ln_crashes_tick (w.a.crashes, lb_clock_monotonic () + lc_quarantine_report_lifetime ());
@@ -335,49 +336,50 @@
   ln_crashes_tick (w.a.crashes,
                    lb_clock_monotonic () + lc_quarantine_report_lifetime () + 700 * LB_SEC);
   cr_assert_null (w.store.rows[0].value);
-  world_clear (&w);
+  cluster_clear (&w);
 }
 
 /* Operators remove the rows that keep a request in quarantine, and the request is released at once.
  */
 Test (crashes, rows_removed_by_operators_no_longer_count)
 {
-  World w;
+  Cluster w;
 
-  world_init (&w);
+  cluster_init (&w);
   report_crash (&w.a, "e1", BAD_REQUEST);
   report_crash (&w.b, "e2", BAD_REQUEST);
   report_crash (&w.b, "e3", BAD_REQUEST);
-  tick_crashes (&w.a);
+  tick_crash_reports (&w.a);
   cr_assert (is_quarantined (&w.a, BAD_REQUEST));
   put_row (&w.store, w.store.rows[1].key, NULL);
-  tick_crashes (&w.a);
-  tick_crashes (&w.b);
+  tick_crash_reports (&w.a);
+  tick_crash_reports (&w.b);
   cr_assert_not (is_quarantined (&w.a, BAD_REQUEST));
   cr_assert_not (is_quarantined (&w.b, BAD_REQUEST));
-  world_clear (&w);
+  cluster_clear (&w);
 }
 
-/* All endpoints stop at once under a request that many callers send. An instance that got an answer
- * to the request publishes a clearance, and the other instances release the request. */
-Test (crashes, an_answer_at_one_instance_clears_the_request_at_all)
+/* All endpoints stop at once while they run a request that many callers send. An instance that
+ * got an answer to the request writes this to the store, and the other instances end the
+ * quarantine. */
+Test (crashes, an_answer_at_one_instance_ends_the_quarantine_at_all_instances)
 {
-  World w;
+  Cluster w;
 
-  world_init (&w);
+  cluster_init (&w);
   lc_quarantine_record_answer (w.a.quarantine, GOOD_REQUEST, lb_clock_monotonic ());
   report_crash (&w.b, "e1", GOOD_REQUEST);
   report_crash (&w.b, "e2", GOOD_REQUEST);
   report_crash (&w.b, "e3", GOOD_REQUEST);
   cr_assert (is_quarantined (&w.b, GOOD_REQUEST));
-  tick_crashes (&w.a);
-  tick_crashes (&w.b);
+  tick_crash_reports (&w.a);
+  tick_crash_reports (&w.b);
   cr_assert_not (is_quarantined (&w.a, GOOD_REQUEST));
   cr_assert_not (is_quarantined (&w.b, GOOD_REQUEST));
-  world_clear (&w);
+  cluster_clear (&w);
 }
 
-/* A malformed row is ignored, and the other rows count. */
+/* A malformed row of a crash report must be ignored, and the other rows must count. */
 Test (crashes, a_malformed_row_is_ignored)
 {
   static const char *const texts[] = { "",
@@ -388,10 +390,10 @@
                                        "\xff\xfe",
                                        "{\"endpoint\": 3, \"contents\": []}",
                                        "{\"contents\": [null]}" };
-  World w;
+  Cluster w;
   char key[64];
 
-  world_init (&w);
+  cluster_init (&w);
   for (size_t i = 0; i < sizeof texts / sizeof texts[0]; i++)
     {
       snprintf (key, sizeof key, "crash/all/bad-%zu", i);
@@ -400,16 +402,16 @@
   report_crash (&w.b, "e1", BAD_REQUEST);
   report_crash (&w.b, "e2", BAD_REQUEST);
   report_crash (&w.b, "e3", BAD_REQUEST);
-  tick_crashes (&w.a);
+  tick_crash_reports (&w.a);
   cr_assert (is_quarantined (&w.a, BAD_REQUEST));
   cr_assert_eq (lc_quarantine_count_fingerprints (w.a.quarantine), 1);
-  world_clear (&w);
+  cluster_clear (&w);
 }
 
-/* --- platforms without watches --- */
+/* --- platforms that cannot watch rows for changes --- */
 
-/* Running instances get crash reports in frames; an instance that starts reads the rows. */
-Test (crashes, reports_go_in_frames_where_rows_can_not_be_followed)
+/* Instances send crash reports to each other in frames; an instance that starts reads the rows. */
+Test (crashes, reports_are_sent_in_frames_where_rows_cannot_be_watched)
 {
   struct event_base *base = event_base_new ();
   LpPlatform *platform = lp_memory_new (base);
@@ -427,7 +429,7 @@
     }
   cr_assert (is_quarantined (&b, BAD_REQUEST));
   instance_init (&fresh, base, platform, "c");
-  tick_crashes (&fresh);
+  tick_crash_reports (&fresh);
   event_base_loop (base, EVLOOP_NONBLOCK);
   cr_assert (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
@@ -437,8 +439,9 @@
   event_base_free (base);
 }
 
-/* An endpoint that its supervisor restarts under the same name crashes three times under a request,
- * ten seconds apart. An instance that starts afterwards must count three crashes, not one. */
+/* An endpoint that its supervisor restarts under the same name crashes three times while it runs
+ * the same request, ten seconds apart. An instance that starts afterwards must count three
+ * crashes, not one. */
 Test (crashes, reports_keep_their_times_where_the_store_has_no_clock)
 {
   struct event_base *base = event_base_new ();
@@ -448,12 +451,12 @@
   LbTime now = lb_clock_monotonic ();
 
   instance_init (&a, base, platform, "a");
-  tick_crashes (&a);
+  tick_crash_reports (&a);
   for (int i = 2; i >= 0; i--)
     ln_crashes_report_crash (a.crashes, "e1", now - i * 10 * LB_SEC, &fingerprint, 1);
   cr_assert (is_quarantined (&a, BAD_REQUEST));
   instance_init (&fresh, base, platform, "b");
-  tick_crashes (&fresh);
+  tick_crash_reports (&fresh);
   event_base_loop (base, EVLOOP_NONBLOCK);
   cr_assert (is_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
--- a/packages/node/tests/test-leaving.c
+++ b/packages/node/tests/test-leaving.c
@@ -6,7 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Replaces the peers task: counts the frames that it is asked to send and keeps the last one. */
+/* Replaces the task "peers", which sends frames to other instances: counts the frames and keeps
+ * the last one. */
 typedef struct
 {
   LnTask task;
@@ -68,27 +69,27 @@
 }
 
 static void
-announce_endpoint (Fixture *f)
+announce_endpoint_if_leaving (Fixture *f)
 {
   ln_leaving_announce (f->leaving, &f->endpoint);
   event_base_loop (f->base, EVLOOP_NONBLOCK);
 }
 
-/* Guards against new work for an engine that is leaving. The engine reports that to one instance;
- * the others, which polled the engine just before, would send it work for seconds. So the first
- * instance notifies the others, once per incarnation of the engine. */
+/* Guards against new work for an engine that is leaving. The first instance to poll the engine
+ * learns that it leaves; the others, which polled it just before, would send it work for
+ * seconds. So the first instance notifies the others, once per incarnation of the engine. */
 Test (leaving, a_leaving_endpoint_is_announced_once_per_incarnation)
 {
   Fixture f = fixture_new ();
 
-  announce_endpoint (&f);
+  announce_endpoint_if_leaving (&f);
   cr_assert_eq (f.peers->n_frames, 0, "expected no frame, as the endpoint is not leaving");
   f.endpoint.leaving = true;
-  announce_endpoint (&f);
-  announce_endpoint (&f);
+  announce_endpoint_if_leaving (&f);
+  announce_endpoint_if_leaving (&f);
   cr_assert_eq (f.peers->n_frames, 1);
   LB_COPY (f.endpoint.report.incarnation, "life-2");
-  announce_endpoint (&f);
+  announce_endpoint_if_leaving (&f);
   cr_assert_eq (f.peers->n_frames, 2);
   fixture_free (&f);
 }
@@ -101,14 +102,14 @@
   LnEndpointLeavingMessage message;
 
   f.endpoint.leaving = true;
-  announce_endpoint (&f);
+  announce_endpoint_if_leaving (&f);
   const LnPeerMessage frame = { .payload = f.peers->payload, .length = f.peers->length };
   cr_assert (ln_leaving_receive_frame (other.leaving, &frame, &message));
   cr_assert_str_eq (message.endpoint, "e1");
   cr_assert_str_eq (message.incarnation, "life-1");
   cr_assert_eq (message.source, LC_LEAVING_PEER);
   other.endpoint.leaving = true;
-  announce_endpoint (&other);
+  announce_endpoint_if_leaving (&other);
   cr_assert_eq (other.peers->n_frames, 0);
   fixture_free (&other);
   fixture_free (&f);
--- a/packages/node/tests/test-peers.c
+++ b/packages/node/tests/test-peers.c
@@ -28,7 +28,7 @@
  * forwarded. */
 #define MAX_INSTANCES 10
 
-/* Task that records the messages from the peers task of its instance. */
+/* Task that records the member lists and frames which its instance receives from the others. */
 typedef struct
 {
   LnTask base;
@@ -52,7 +52,7 @@
   struct event_base *base;
   Instance instances[MAX_INSTANCES];
   size_t n_instances;
-} World;
+} Cluster;
 
 static void
 record_members (Listener *listener, const LnMembersMessage *message)
@@ -87,28 +87,28 @@
     = { .name = "config", .receive = listener_receive, .free = listener_free };
 
 static void
-world_init (World *world)
+cluster_init (Cluster *cluster)
 {
-  memset (world, 0, sizeof *world);
+  memset (cluster, 0, sizeof *cluster);
   signal (SIGPIPE, SIG_IGN);
   lb_log_init (LB_LOG_OFF, 2, "test");
-  world->base = event_base_new ();
+  cluster->base = event_base_new ();
 }
 
 static Instance *
-start_instance (World *world, const char *key, const char *seed)
+start_instance (Cluster *cluster, const char *key, const char *seed)
 {
-  Instance *instance = &world->instances[world->n_instances++];
+  Instance *instance = &cluster->instances[cluster->n_instances++];
 
   ln_settings_init (&instance->settings);
   LB_COPY (instance->settings.cluster.key, key);
   instance->settings.cluster.seeds = LB_NEW_ARRAY (LbName, 1);
   instance->settings.cluster.n_seeds = seed ? 1 : 0;
   LB_COPY (instance->settings.cluster.seeds[0], seed ? seed : "");
-  instance->context = (LnContext){ .base = world->base, .settings = &instance->settings };
-  instance->context.hub = ln_hub_new (world->base);
-  snprintf (instance->context.instance, LB_NAME_MAX, "i%zu", world->n_instances);
-  snprintf (instance->context.incarnation, 40, "a%zu", world->n_instances);
+  instance->context = (LnContext){ .base = cluster->base, .settings = &instance->settings };
+  instance->context.hub = ln_hub_new (cluster->base);
+  snprintf (instance->context.instance, LB_NAME_MAX, "i%zu", cluster->n_instances);
+  snprintf (instance->context.incarnation, 40, "a%zu", cluster->n_instances);
   LB_COPY (instance->context.caller_address, "127.0.0.1:1");
   instance->peers = ln_peers_task_new (&instance->context);
   cr_assert (instance->peers);
@@ -127,26 +127,26 @@
 }
 
 static void
-world_clear (World *world)
+cluster_clear (Cluster *cluster)
 {
-  for (size_t i = 0; i < world->n_instances; i++)
-    stop_instance (&world->instances[i]);
-  event_base_free (world->base);
+  for (size_t i = 0; i < cluster->n_instances; i++)
+    stop_instance (&cluster->instances[i]);
+  event_base_free (cluster->base);
 }
 
 static void
-run_loop_once (World *world)
+run_loop_once (Cluster *cluster)
 {
-  event_base_loop (world->base, EVLOOP_NONBLOCK);
+  event_base_loop (cluster->base, EVLOOP_NONBLOCK);
   usleep (500);
 }
 
-#define WAIT_UNTIL(world, condition)                                                               \
+#define WAIT_UNTIL(cluster, condition)                                                             \
   do                                                                                               \
     {                                                                                              \
       LbTime end_ = lb_clock_monotonic () + WAIT_TIMEOUT;                                          \
       while (!(condition) && lb_clock_monotonic () < end_)                                         \
-        run_loop_once (world);                                                                     \
+        run_loop_once (cluster);                                                                   \
       cr_assert ((condition), "still false at the timeout: %s", #condition);                       \
     }                                                                                              \
   while (0)
@@ -203,50 +203,50 @@
 
 Test (peers, instances_discover_each_other_and_frames_arrive_once)
 {
-  World world;
+  Cluster cluster;
 
-  world_init (&world);
-  Instance *first = start_instance (&world, "key", NULL);
-  run_loop_once (&world);
-  while (world.n_instances < MAX_INSTANCES)
-    start_instance (&world, "key", first->context.peer_address);
+  cluster_init (&cluster);
+  Instance *first = start_instance (&cluster, "key", NULL);
+  run_loop_once (&cluster);
+  while (cluster.n_instances < MAX_INSTANCES)
+    start_instance (&cluster, "key", first->context.peer_address);
   for (size_t i = 0; i < MAX_INSTANCES; i++)
-    WAIT_UNTIL (&world, count_alive_members (&world.instances[i]) == MAX_INSTANCES);
+    WAIT_UNTIL (&cluster, count_alive_members (&cluster.instances[i]) == MAX_INSTANCES);
 
-  Instance *sender = &world.instances[5];
+  Instance *sender = &cluster.instances[5];
   send_frame_to (sender, "", "to all");
   for (size_t i = 0; i < MAX_INSTANCES; i++)
-    WAIT_UNTIL (&world, i == 5 || world.instances[i].listener->n_frames == 1);
-  send_frame_to (&world.instances[1], "i4", "to one");
-  WAIT_UNTIL (&world, world.instances[3].listener->n_frames == 2);
-  cr_assert_str_eq (world.instances[3].listener->last_payload, "to one");
-  cr_assert_str_eq (world.instances[3].listener->last_sender, "i2");
+    WAIT_UNTIL (&cluster, i == 5 || cluster.instances[i].listener->n_frames == 1);
+  send_frame_to (&cluster.instances[1], "i4", "to one");
+  WAIT_UNTIL (&cluster, cluster.instances[3].listener->n_frames == 2);
+  cr_assert_str_eq (cluster.instances[3].listener->last_payload, "to one");
+  cr_assert_str_eq (cluster.instances[3].listener->last_sender, "i2");
   for (int i = 0; i < 200; i++)
-    run_loop_once (&world);
+    run_loop_once (&cluster);
   for (size_t i = 0; i < MAX_INSTANCES; i++)
-    cr_assert_eq (world.instances[i].listener->n_frames, i == 5 ? 0 : i == 3 ? 2 : 1);
+    cr_assert_eq (cluster.instances[i].listener->n_frames, i == 5 ? 0 : i == 3 ? 2 : 1);
 
   ln_hub_drain (first->context.hub);
   for (size_t i = 1; i < MAX_INSTANCES; i++)
-    WAIT_UNTIL (&world, sees_member_draining (&world.instances[i], "i1"));
-  world_clear (&world);
+    WAIT_UNTIL (&cluster, sees_member_draining (&cluster.instances[i], "i1"));
+  cluster_clear (&cluster);
 }
 
 /* Guards against two clusters that mix their members and configurations after an instance of one
- * cluster was given a seed address of the other by mistake. Its key keeps the instance out, and a
- * counter shows the operator why. */
-Test (peers, an_instance_with_another_key_stays_alone)
+ * cluster was given a seed address of the other by mistake. An instance with another cluster key
+ * must be refused, and a counter must show the operator why. */
+Test (peers, an_instance_with_another_cluster_key_is_refused)
 {
-  World world;
+  Cluster cluster;
 
-  world_init (&world);
-  Instance *first = start_instance (&world, "key", NULL);
-  run_loop_once (&world);
-  Instance *other = start_instance (&world, "other key", first->context.peer_address);
-  WAIT_UNTIL (&world, read_metric ("lentilspindle_errors_total{type=\"wrong_key\"}") >= 2);
+  cluster_init (&cluster);
+  Instance *first = start_instance (&cluster, "key", NULL);
+  run_loop_once (&cluster);
+  Instance *other = start_instance (&cluster, "other key", first->context.peer_address);
+  WAIT_UNTIL (&cluster, read_metric ("lentilspindle_errors_total{type=\"wrong_key\"}") >= 2);
   cr_assert_eq (count_alive_members (first), 1);
   cr_assert_eq (count_alive_members (other), 1);
-  world_clear (&world);
+  cluster_clear (&cluster);
 }
 
 static int
@@ -289,35 +289,36 @@
     { { 0, 0, 0, 3, LW_FRAME_VERSION, 0x92, 0x04, 0x05 },
       "lentilspindle_errors_total{type=\"frame_garbled\"}" },
   };
-  World world;
+  Cluster cluster;
 
-  world_init (&world);
-  Instance *first = start_instance (&world, "key", NULL);
-  run_loop_once (&world);
-  start_instance (&world, "key", first->context.peer_address);
-  WAIT_UNTIL (&world, count_alive_members (first) == 2);
+  cluster_init (&cluster);
+  Instance *first = start_instance (&cluster, "key", NULL);
+  run_loop_once (&cluster);
+  start_instance (&cluster, "key", first->context.peer_address);
+  WAIT_UNTIL (&cluster, count_alive_members (first) == 2);
   for (size_t i = 0; i < sizeof cases / sizeof *cases; i++)
     {
       int64_t before = read_metric (cases[i].counter);
       int fd = connect_client (first);
       cr_assert_eq (send (fd, cases[i].bytes, 8, 0), 8);
-      WAIT_UNTIL (&world, is_socket_closed (fd));
-      cr_assert_eq (read_metric (cases[i].counter), before + 1, "case %zu", i);
+      WAIT_UNTIL (&cluster, is_socket_closed (fd));
+      cr_assert_eq (read_metric (cases[i].counter), before + 1,
+                    "case %zu: expected its counter to increase by 1", i);
       close (fd);
     }
   int silent_fd = connect_client (first);
-  WAIT_UNTIL (&world, is_socket_closed (silent_fd));
+  WAIT_UNTIL (&cluster, is_socket_closed (silent_fd));
   cr_assert_geq (read_metric ("lentilspindle_errors_total{type=\"timeout\"}"), 1);
   close (silent_fd);
   cr_assert_eq (count_alive_members (first), 2);
-  world_clear (&world);
+  cluster_clear (&cluster);
 }
 
 /* Proxy between two instances. While `drops_bytes` is set, the proxy discards the bytes that arrive
  * on its connections but keeps the connections open. */
 typedef struct
 {
-  World *world;
+  Cluster *cluster;
   struct evconnlistener *listener;
   LbName address;
   LbName target;
@@ -357,8 +358,8 @@
       return;
     }
   evutil_parse_sockaddr_port (proxy->target, (struct sockaddr *)&to, &to_length);
-  proxy->ends[0] = bufferevent_socket_new (proxy->world->base, fd, BEV_OPT_CLOSE_ON_FREE);
-  proxy->ends[1] = bufferevent_socket_new (proxy->world->base, -1, BEV_OPT_CLOSE_ON_FREE);
+  proxy->ends[0] = bufferevent_socket_new (proxy->cluster->base, fd, BEV_OPT_CLOSE_ON_FREE);
+  proxy->ends[1] = bufferevent_socket_new (proxy->cluster->base, -1, BEV_OPT_CLOSE_ON_FREE);
   bufferevent_socket_connect (proxy->ends[1], (struct sockaddr *)&to, to_length);
   for (int i = 0; i < 2; i++)
     {
@@ -368,17 +369,17 @@
 }
 
 static void
-proxy_init (Proxy *proxy, World *world, const char *target)
+proxy_init (Proxy *proxy, Cluster *cluster, const char *target)
 {
   struct sockaddr_in at = { .sin_family = AF_INET };
   socklen_t length = sizeof at;
 
   memset (proxy, 0, sizeof *proxy);
-  proxy->world = world;
+  proxy->cluster = cluster;
   LB_COPY (proxy->target, target);
   at.sin_addr.s_addr = htonl (INADDR_LOOPBACK);
   proxy->listener
-      = evconnlistener_new_bind (world->base, proxy_accept, proxy, LEV_OPT_CLOSE_ON_FREE, -1,
+      = evconnlistener_new_bind (cluster->base, proxy_accept, proxy, LEV_OPT_CLOSE_ON_FREE, -1,
                                  (struct sockaddr *)&at, sizeof at);
   getsockname (evconnlistener_get_fd (proxy->listener), (struct sockaddr *)&at, &length);
   snprintf (proxy->address, LB_NAME_MAX, "127.0.0.1:%d", ntohs (at.sin_port));
@@ -397,26 +398,26 @@
  * the silence is detected, a new connection is opened, and neither instance suspects the other. */
 Test (peers, a_connection_that_loses_bytes_is_replaced)
 {
-  World world;
+  Cluster cluster;
   Proxy proxy;
 
-  world_init (&world);
-  Instance *first = start_instance (&world, "key", NULL);
-  run_loop_once (&world);
-  proxy_init (&proxy, &world, first->context.peer_address);
-  Instance *second = start_instance (&world, "key", proxy.address);
-  WAIT_UNTIL (&world, count_alive_members (first) == 2 && count_alive_members (second) == 2);
+  cluster_init (&cluster);
+  Instance *first = start_instance (&cluster, "key", NULL);
+  run_loop_once (&cluster);
+  proxy_init (&proxy, &cluster, first->context.peer_address);
+  Instance *second = start_instance (&cluster, "key", proxy.address);
+  WAIT_UNTIL (&cluster, count_alive_members (first) == 2 && count_alive_members (second) == 2);
   cr_assert (proxy.ends[0]);
 
   proxy.drops_bytes = true;
   LbTime lost_at = lb_clock_monotonic ();
-  WAIT_UNTIL (&world, read_metric ("lentilspindle_peer_silent_connections_total") > 0);
+  WAIT_UNTIL (&cluster, read_metric ("lentilspindle_peer_silent_connections_total") > 0);
   LbTime detection_time = lb_clock_monotonic () - lost_at;
-  WAIT_UNTIL (&world, count_alive_members (first) == 2 && count_alive_members (second) == 2);
+  WAIT_UNTIL (&cluster, count_alive_members (first) == 2 && count_alive_members (second) == 2);
   send_frame_to (second, "i1", "over the new one");
-  WAIT_UNTIL (&world, first->listener->n_frames == 1);
+  WAIT_UNTIL (&cluster, first->listener->n_frames == 1);
   cr_assert_eq (read_metric ("lentilspindle_members_suspected_total"), 0);
   cr_log_info ("silence detected after %.2f s", (double)detection_time / LB_SEC);
   proxy_clear (&proxy);
-  world_clear (&world);
+  cluster_clear (&cluster);
 }
