--- a/packages/node/tests/test-claims.c
+++ b/packages/node/tests/test-claims.c
@@ -21,7 +21,7 @@
 } ScanResult;
 
 static void
-on_claimed (const char *ticket, const LbError *error, void *user)
+on_key_claimed (const char *ticket, const LbError *error, void *user)
 {
   (void)error;
   ClaimResult *result = user;
@@ -31,7 +31,7 @@
 }
 
 static void
-on_scanned (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_claim_rows_scanned (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   (void)rows;
   ScanResult *scan = user;
@@ -58,13 +58,14 @@
 {
   ScanResult scan = { 0 };
 
-  platform->klass->scan (platform, "claim/", on_scanned, &scan);
+  platform->klass->scan (platform, "claim/", on_claim_rows_scanned, &scan);
   run_loop_until (base, &scan.is_done);
   return scan.error == LB_OK;
 }
 
-/* Rows of idempotency keys that are never deleted would fill the operators' table. A row must be
- * deleted after its ticket has expired, and not before. */
+/* The store has a row for each idempotency key that a call has claimed. Rows that are never
+ * deleted would fill the table: a row must be deleted after its ticket has expired, and not
+ * before. */
 Test (claims, rows_of_expired_keys_are_deleted)
 {
   struct event_base *base = event_base_new ();
@@ -73,7 +74,7 @@
   ClaimResult first = { 0 };
   LbTime deadline = lb_clock_monotonic () + 20 * LB_SEC;
 
-  ln_claims_claim_key (claims, "shop", "k1", "i1.a.1", 0, on_claimed, &first);
+  ln_claims_claim_key (claims, "shop", "k1", "i1.a.1", 0, on_key_claimed, &first);
   run_loop_until (base, &first.is_done);
   cr_assert (first.is_ours);
   while (store_has_claim_rows (base, platform) && lb_clock_monotonic () < deadline)
@@ -81,7 +82,7 @@
   cr_assert_not (store_has_claim_rows (base, platform));
 
   ClaimResult second = { 0 };
-  ln_claims_claim_key (claims, "shop", "k1", "i1.a.1", LB_TIME_NEVER, on_claimed, &second);
+  ln_claims_claim_key (claims, "shop", "k1", "i1.a.1", LB_TIME_NEVER, on_key_claimed, &second);
   run_loop_until (base, &second.is_done);
   deadline = lb_clock_monotonic () + 3 * LB_SEC;
   while (lb_clock_monotonic () < deadline)
--- a/packages/node/tests/test-fleet-directory.c
+++ b/packages/node/tests/test-fleet-directory.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define N_STRONG_INSTANCES 200 /* instances with a machine of high capacity */
+#define N_STRONG_INSTANCES 200 /* instances whose machine has a high capacity */
 
 typedef struct
 {
@@ -19,8 +19,8 @@
   char *value;
 } Row;
 
-/* Fake store with the rows of a fleet. It answers at once and counts the list calls and the
- * returned rows. */
+/* Fake store with one row for each instance of a fleet. It answers at once and counts the list
+ * calls and the returned rows. */
 typedef struct
 {
   LpPlatform platform; /* must be the first member */
@@ -31,7 +31,7 @@
 } Store;
 
 static int64_t
-store_ms (const LpPlatform *platform)
+get_store_clock_ms (const LpPlatform *platform)
 {
   (void)platform;
   return lb_clock_monotonic () / LB_MSEC;
@@ -62,7 +62,7 @@
 }
 
 static const LpPlatformClass store_class
-    = { .name = "test", .list = list_store_rows, .store_clock_ms = store_ms };
+    = { .name = "test", .list = list_store_rows, .store_clock_ms = get_store_clock_ms };
 
 static int
 compare_rows_by_key (const void *a, const void *b)
@@ -87,7 +87,7 @@
       LcFleetRow row = { .ready = true, .period = LB_SEC };
       row.strength = i < N_STRONG_INSTANCES ? lc_duty_machine_strength (0.5, 600)
                                             : lc_duty_machine_strength (0.12, 60);
-      row.renewed_ms = store_ms (&store->platform);
+      row.renewed_ms = get_store_clock_ms (&store->platform);
       format_instance_name (i, row.name);
       LB_COPY (row.incarnation, "1");
       LB_COPY (row.caller_address, "10.0.0.1:80");
@@ -123,8 +123,8 @@
   return n;
 }
 
-/* Guards against a cost of listing, in rows read and instances stored, that grows with the fleet.
- */
+/* Guards against list calls that return more rows, and a directory that keeps more instances,
+ * the larger the fleet is. */
 Test (fleet_directory, listing_cost_does_not_grow_with_the_fleet)
 {
   const size_t sizes[] = { 1000, 2000 };
@@ -145,7 +145,7 @@
     }
 }
 
-/* Guards against a directory that does not contain all instances of a small fleet. */
+/* Guards against a directory that lacks some instances of a small fleet. */
 Test (fleet_directory, a_small_fleet_is_known_completely)
 {
   Store store;
@@ -160,7 +160,7 @@
   store_clear (&store);
 }
 
-Test (fleet_directory, omitted_instances_detect_that_they_are_omitted)
+Test (fleet_directory, instances_outside_the_directory_are_reported_as_omitted)
 {
   Store store;
   size_t n_omitted = 0;
--- a/packages/node/tests/test-fleet-lists.c
+++ b/packages/node/tests/test-fleet-lists.c
@@ -16,7 +16,7 @@
 {
   LcFleetRow row;
   int64_t version;
-  bool has_stopped; /* the instance no longer renews its row */
+  bool has_stopped; /* the machine was removed: the instance no longer renews its row */
 } Instance;
 
 /* Fake store with the rows of two instances, both in one partition. It answers at once. */
@@ -28,7 +28,7 @@
 } Store;
 
 static int64_t
-get_store_time_ms (const LpPlatform *platform)
+get_store_clock_ms (const LpPlatform *platform)
 {
   (void)platform;
   return lb_clock_monotonic () / LB_MSEC;
@@ -62,7 +62,7 @@
 }
 
 static const LpPlatformClass store_class
-    = { .name = "test", .list = list_store_rows, .store_clock_ms = get_store_time_ms };
+    = { .name = "test", .list = list_store_rows, .store_clock_ms = get_store_clock_ms };
 
 static void
 renew_all_rows (Store *store)
@@ -71,7 +71,7 @@
     if (!store->instances[i].has_stopped)
       {
         store->instances[i].version = ++store->version;
-        store->instances[i].row.renewed_ms = get_store_time_ms (&store->platform);
+        store->instances[i].row.renewed_ms = get_store_clock_ms (&store->platform);
       }
 }
 
@@ -107,11 +107,11 @@
   return NULL;
 }
 
-/* Guards against callers that get the address of a removed machine. An instance lists the others at
- * its start, then follows the catalog while a machine is removed. When the instance listed rows
- * itself again half a minute later, it treated the time without lists as a store outage and counted
- * the machine as alive. */
-Test (fleet_lists, an_instance_that_left_while_following_is_not_confirmed)
+/* Guards against callers that get the address of a removed machine. An instance reads the member
+ * list that another one publishes (the catalog) while a machine is removed. When the instance
+ * listed rows itself again half a minute later, it treated the time without lists as a store
+ * outage and counted the machine as alive. */
+Test (fleet_lists, an_instance_removed_while_the_catalog_is_followed_is_not_confirmed)
 {
   Store store;
 
--- a/packages/node/tests/test-fleet-renewal.c
+++ b/packages/node/tests/test-fleet-renewal.c
@@ -61,7 +61,7 @@
   LcFleetRow row;
   LnFleetRenewal *renewal;
   LbTime now;
-  bool is_duty_row_listed; /* the last list contained this instance's duty row */
+  bool is_duty_row_listed; /* the last list had the row that is renewed only on duty */
   bool is_omitted;
 } Setup;
 
@@ -85,9 +85,10 @@
   ln_fleet_renewal_tick (s->renewal, &summary, s->now);
 }
 
-/* Ticks every 100 ms and answers all writes. */
+/* Advances the test's clock by the duration, in steps of 100 ms: each step ticks the renewal and
+ * answers all writes. */
 static void
-tick_for (Setup *s, LbTime duration)
+tick_renewal_for (Setup *s, LbTime duration)
 {
   for (LbTime end = s->now + duration; s->now < end; s->now += 100 * LB_MSEC)
     {
@@ -97,12 +98,12 @@
 }
 
 static size_t
-count_writes (Setup *s, bool on_duty, bool is_removal)
+count_row_writes (Setup *s, bool is_duty_row, bool is_removal)
 {
   char key[LN_FLEET_KEY_SIZE];
   size_t n = 0;
 
-  ln_fleet_row_format_key (&s->row, on_duty, key);
+  ln_fleet_row_format_key (&s->row, is_duty_row, key);
   for (size_t i = 0; i < s->store.n_writes; i++)
     n += strcmp (s->store.writes[i].key, key) == 0 && s->store.writes[i].is_removal == is_removal;
   return n;
@@ -115,13 +116,13 @@
   Setup s;
 
   setup_init (&s);
-  tick_for (&s, 3 * LB_SEC);
-  cr_assert_eq (count_writes (&s, false, false), 2);
-  cr_assert_eq (count_writes (&s, true, false), 0);
+  tick_renewal_for (&s, 3 * LB_SEC);
+  cr_assert_eq (count_row_writes (&s, false, false), 2);
+  cr_assert_eq (count_row_writes (&s, true, false), 0);
   ln_fleet_renewal_set_duty (s.renewal, true, s.now);
-  tick_for (&s, 3 * LB_SEC);
-  cr_assert_geq (count_writes (&s, true, false), 10);
-  cr_assert_leq (count_writes (&s, false, false), 3);
+  tick_renewal_for (&s, 3 * LB_SEC);
+  cr_assert_geq (count_row_writes (&s, true, false), 10);
+  cr_assert_leq (count_row_writes (&s, false, false), 3);
   ln_fleet_renewal_free (s.renewal);
 }
 
@@ -134,10 +135,10 @@
 
   setup_init (&s);
   ln_fleet_renewal_set_duty (s.renewal, true, s.now);
-  tick_for (&s, LB_SEC);
+  tick_renewal_for (&s, LB_SEC);
   ln_fleet_renewal_set_duty (s.renewal, false, s.now);
-  tick_for (&s, 10 * LB_SEC);
-  cr_assert_eq (count_writes (&s, true, true), 0,
+  tick_renewal_for (&s, 10 * LB_SEC);
+  cr_assert_eq (count_row_writes (&s, true, true), 0,
                 "expected no removal yet, as the duty row is kept for the next step");
   s.is_duty_row_listed = true;
   s.now += LB_SEC;
@@ -146,12 +147,12 @@
   s.now += 100 * LB_MSEC;
   tick_renewal (&s);
   s.is_duty_row_listed = false;
-  cr_assert_eq (count_writes (&s, true, true), 1);
+  cr_assert_eq (count_row_writes (&s, true, true), 1);
   answer_all_writes (&s.store, LB_ERROR_STORE_UNKNOWN);
-  tick_for (&s, LB_SEC);
-  cr_assert_eq (count_writes (&s, true, true), 2);
-  tick_for (&s, 5 * LB_SEC);
-  cr_assert_eq (count_writes (&s, true, true), 2,
+  tick_renewal_for (&s, LB_SEC);
+  cr_assert_eq (count_row_writes (&s, true, true), 2);
+  tick_renewal_for (&s, 5 * LB_SEC);
+  cr_assert_eq (count_row_writes (&s, true, true), 2,
                 "expected no further removal, as the second one succeeded");
   ln_fleet_renewal_free (s.renewal);
 }
@@ -164,30 +165,30 @@
 
   setup_init (&s);
   ln_fleet_renewal_set_duty (s.renewal, true, s.now);
-  tick_for (&s, LB_SEC);
+  tick_renewal_for (&s, LB_SEC);
   ln_fleet_renewal_set_duty (s.renewal, false, s.now);
-  tick_for (&s, 12 * LB_SEC);
-  cr_assert_eq (count_writes (&s, true, true), 1);
+  tick_renewal_for (&s, 12 * LB_SEC);
+  cr_assert_eq (count_row_writes (&s, true, true), 1);
   s.is_duty_row_listed = true;
-  tick_for (&s, LB_SEC);
+  tick_renewal_for (&s, LB_SEC);
   s.is_duty_row_listed = false;
-  cr_assert_geq (count_writes (&s, true, true), 2);
+  cr_assert_geq (count_row_writes (&s, true, true), 2);
   ln_fleet_renewal_free (s.renewal);
 }
 
-/* Guards against a renewal rate that grows with the fleet: instances that are not in the directory
- * renew their rows rarely, since no instance lists these rows. */
-Test (fleet_renewal, an_omitted_instance_renews_seldom_until_it_is_in_the_directory)
+/* Guards against a total rate of renewals that grows with the fleet: instances that are not in
+ * the directory renew their rows rarely, since no instance lists these rows. */
+Test (fleet_renewal, an_instance_renews_its_row_seldom_until_it_is_in_the_directory)
 {
   Setup s;
 
   setup_init (&s);
   s.is_omitted = true;
-  tick_for (&s, 30 * LB_SEC);
-  cr_assert_leq (count_writes (&s, false, false), 4);
-  size_t before = count_writes (&s, false, false);
+  tick_renewal_for (&s, 30 * LB_SEC);
+  cr_assert_leq (count_row_writes (&s, false, false), 4);
+  size_t before = count_row_writes (&s, false, false);
   s.is_omitted = false;
-  tick_for (&s, 2500 * LB_MSEC);
-  cr_assert_geq (count_writes (&s, false, false), before + 1);
+  tick_renewal_for (&s, 2500 * LB_MSEC);
+  cr_assert_geq (count_row_writes (&s, false, false), before + 1);
   ln_fleet_renewal_free (s.renewal);
 }
--- a/packages/node/tests/test-front.c
+++ b/packages/node/tests/test-front.c
@@ -40,7 +40,8 @@
   fixture_clear (&f);
 }
 
-/* A request whose headers never end must time out too, although evhtp has no request object yet. */
+/* A request whose headers never end must time out too, although the HTTP library (evhtp) has no
+ * request object yet. */
 Test (front, header_sent_byte_by_byte_times_out)
 {
   Fixture f;
--- a/packages/node/tests/test-recorder.c
+++ b/packages/node/tests/test-recorder.c
@@ -10,8 +10,9 @@
   fclose (in);
 }
 
-/* The trace must contain all requests, but an expected completion only for completed requests. */
-Test (recorder, expects_completion_only_of_completed_calls)
+/* The trace must contain every call, and a line that expects a complete answer only for calls
+ * that completed. */
+Test (recorder, trace_expects_complete_answers_only_of_completed_calls)
 {
   Fixture f;
   Peer caller, service, engine;
--- a/packages/node/tests/test-row-cache.c
+++ b/packages/node/tests/test-row-cache.c
@@ -52,7 +52,8 @@
   ln_row_cache_free (cache);
 }
 
-/* Each change outside the counter must be detected: text before or after it, or a shorter text. */
+/* A row must be parsed again after any change except that of the counter which each write
+ * increments: a change of the text before or after the counter, or a shorter text. */
 Test (row_cache, changed_row_is_parsed)
 {
   static const char *const texts[] = { "{\"a\":1,\"count\":9,\"z\":2}",
--- a/packages/node/tests/test-settings.c
+++ b/packages/node/tests/test-settings.c
@@ -27,8 +27,9 @@
   LbError error = { 0 };
 
   cr_assert_not (read_settings_text (&settings, text, &error), "expected an error: %s", text);
-  cr_assert_eq (error.code, code, "%s: unexpected error type %s", text, lb_error_name (error.code));
-  cr_assert (strstr (error.where, where), "%s: unexpected place of the error: %s", text,
+  cr_assert_eq (error.code, code, "%s: expected the error type of this case, got %s", text,
+                lb_error_name (error.code));
+  cr_assert (strstr (error.where, where), "%s: expected the place of this case, got %s", text,
              error.where);
   cr_assert (error.detail[0]);
   ln_settings_clear (&settings);
@@ -91,7 +92,7 @@
                  " /* two */ \"cluster\": {\"key\": \"k\", \"seeds\": [\"127.0.0.1:1\","
                  " \"127.0.0.1:2\"]}, \"drain\": {\"drain_ms\": 5}, \"seed\": 9 }",
                  &error),
-             "%s %s", error.where, error.detail);
+             "expected valid settings, got an error: %s %s", error.where, error.detail);
   cr_assert_str_eq (settings.instance.name, "i7");
   cr_assert_str_eq (settings.instance.data_centre, "hall-b");
   cr_assert_eq (settings.cluster.n_seeds, 2);
--- a/packages/node/tests/test-stall.c
+++ b/packages/node/tests/test-stall.c
@@ -5,9 +5,9 @@
 #include <criterion/criterion.h>
 #include <event2/event.h>
 
-/* A handler loops for ever. Without the detector, callers would get no reply, other instances would
- * take over only after the leases of this instance expire, and no log line would tell the cause.
- * The process must exit instead, so that the platform restarts it. */
+/* An event handler loops for ever. Without the stall detector, callers would get no reply, other
+ * instances would take over only after the leases of this instance expire, and no log line would
+ * tell the cause. The process must exit instead, so that the platform restarts it. */
 Test (stall, endless_handler_terminates_the_process, .exit_code = 70, .timeout = 60)
 {
   struct event_base *base = event_base_new ();
--- a/packages/node/tests/test-ticker.c
+++ b/packages/node/tests/test-ticker.c
@@ -34,8 +34,8 @@
   event_base_dispatch (f->base);
 }
 
-/* Guards against 100 wake-ups a second in an idle process. */
-Test (ticker, idle_process_makes_fewer_calls_until_work_is_reported)
+/* Guards against an idle process that wakes up 100 times a second. */
+Test (ticker, idle_process_runs_periodic_calls_less_often_until_work_is_reported)
 {
   Fixture f = { .base = event_base_new () };
   LnPeriodicCall fast = { .period = 50 * LB_MSEC, .callback = count_fast_call, .user = &f };
--- a/packages/node/tests/test-tickets.c
+++ b/packages/node/tests/test-tickets.c
@@ -2,7 +2,7 @@
 
 #include "lp-platform.h"
 
-/* A store with one row that returns the errors set by the test. */
+/* Fake store with at most one row. Its operations return the errors that the test sets. */
 typedef struct
 {
   LpPlatform platform; /* must be the first member */
@@ -184,7 +184,7 @@
 
 /* The connection to the service breaks after the service received the call, which may have run. A
  * retry with the same ticket must not run the call a second time. */
-Test (tickets, retry_of_a_broken_call_is_not_run_again)
+Test (tickets, retry_after_a_lost_service_connection_is_not_run_again)
 {
   Setup s;
   Peer caller, service;
@@ -229,7 +229,10 @@
 }
 
 static void
-post_single_member (Setup *s, const char *name, const char *incarnation, const char *address)
+post_member_list_with_one_instance (Setup *s,
+                                    const char *name,
+                                    const char *incarnation,
+                                    const char *address)
 {
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS), .n_members = 1 };
 
@@ -243,8 +246,8 @@
   fixture_run_loop_once (&s->f);
 }
 
-/* The caller uses its ticket at another instance. Only the instance named in the ticket may run the
- * call, so the call is relayed to that instance once, under the caller's name. */
+/* The caller uses its ticket at another instance. Only the instance named in the ticket may run
+ * the call, so the call is relayed to that instance once, with the caller's address in a header. */
 Test (tickets, call_with_the_ticket_of_another_instance_is_relayed)
 {
   Setup s;
@@ -253,7 +256,7 @@
 
   setup_init_with_fake_store (&s);
   int instance = fixture_open_listener (address);
-  post_single_member (&s, "i2", "b1", address);
+  post_member_list_with_one_instance (&s, "i2", "b1", address);
   caller_connect (&s.f, &caller);
   send_order (&caller, "x-ticket", "i2.b1.0000000000000001");
   endpoint_accept_call (&s.f, instance, &other);
@@ -269,8 +272,8 @@
   fixture_clear (&s.f);
 }
 
-/* Two instances may each assume that the other one issued the ticket. The call must not loop
- * between the two. */
+/* A call that another instance has relayed must not be relayed again: two instances that each
+ * assume that the other one issued the ticket would relay it back and forth. */
 Test (tickets, relayed_call_is_not_relayed_again)
 {
   Setup s;
@@ -279,7 +282,7 @@
 
   setup_init_with_fake_store (&s);
   fixture_open_listener (address);
-  post_single_member (&s, "i2", "b1", address);
+  post_member_list_with_one_instance (&s, "i2", "b1", address);
   caller_connect (&s.f, &caller);
   caller_send_post (&caller, "/services/s/order",
                     "x-relayed-by: i3\r\nx-ticket: i2.b1.0000000000000001\r\n", "tea");
@@ -309,8 +312,8 @@
   fixture_clear (&s.f);
 }
 
-/* While the store is unavailable no instance can know whether another one holds the key. The call
- * is refused before it is sent anywhere, so the error is "not run". */
+/* While the store is unavailable no instance can know whether another one has claimed the key.
+ * The call is refused before it is sent anywhere, so the error is "not run". */
 Test (tickets, call_with_a_key_is_not_run_while_the_store_is_unavailable)
 {
   Setup s;
@@ -327,8 +330,8 @@
   fixture_clear (&s.f);
 }
 
-/* The store writes the row but its reply is lost. Reading the row back shows that this instance
- * holds the key, and the call runs. */
+/* The store writes the row that claims a key, but its reply is lost. Reading the row back shows
+ * that this instance holds the key, and the call runs. */
 Test (tickets, claimed_row_is_read_back_when_the_stores_reply_is_lost)
 {
   Setup s;
@@ -347,9 +350,10 @@
   fixture_clear (&s.f);
 }
 
-/* The row is written, the reply is lost, and the store becomes unavailable before the row can be
- * read back. The error is "not run", since no call was sent. When the store is available again, a
- * retry with the key runs the call for the first time, under the ticket in the row. */
+/* The row that claims a key is written, the reply is lost, and the store becomes unavailable
+ * before the row can be read back. The error is "not run", since no call was sent. When the
+ * store is available again, a retry with the key runs the call for the first time, under the
+ * ticket in the row. */
 Test (tickets, call_whose_claim_cannot_be_read_back_is_not_run)
 {
   Setup s;
