--- a/packages/node/tests/test-fleet-renewal.c
+++ b/packages/node/tests/test-fleet-renewal.c
@@ -66,7 +66,7 @@
 } Setup;
 
 static void
-setup_init (Setup *s)
+setup_init_with_renewal (Setup *s)
 {
   memset (s, 0, sizeof *s);
   s->store.platform.klass = &store_class;
@@ -115,7 +115,7 @@
 {
   Setup s;
 
-  setup_init (&s);
+  setup_init_with_renewal (&s);
   tick_renewal_for (&s, 3 * LB_SEC);
   cr_assert_eq (count_row_writes (&s, false, false), 2);
   cr_assert_eq (count_row_writes (&s, true, false), 0);
@@ -133,7 +133,7 @@
 {
   Setup s;
 
-  setup_init (&s);
+  setup_init_with_renewal (&s);
   ln_fleet_renewal_set_duty (s.renewal, true, s.now);
   tick_renewal_for (&s, LB_SEC);
   ln_fleet_renewal_set_duty (s.renewal, false, s.now);
@@ -157,13 +157,13 @@
   ln_fleet_renewal_free (s.renewal);
 }
 
-/* Guards against a stale duty row that stays in the store: a renewal whose answer was lost is
- * applied after the row was removed. */
+/* Guards against a stale duty row (renewed only while the instance runs batches) that stays in
+ * the store: a renewal whose answer was lost is applied after the row was removed. */
 Test (fleet_renewal, a_duty_row_that_reappears_is_removed_again)
 {
   Setup s;
 
-  setup_init (&s);
+  setup_init_with_renewal (&s);
   ln_fleet_renewal_set_duty (s.renewal, true, s.now);
   tick_renewal_for (&s, LB_SEC);
   ln_fleet_renewal_set_duty (s.renewal, false, s.now);
@@ -182,7 +182,7 @@
 {
   Setup s;
 
-  setup_init (&s);
+  setup_init_with_renewal (&s);
   s.is_omitted = true;
   tick_renewal_for (&s, 30 * LB_SEC);
   cr_assert_leq (count_row_writes (&s, false, false), 4);
--- a/packages/node/tests/test-steps.c
+++ b/packages/node/tests/test-steps.c
@@ -62,7 +62,7 @@
 }
 
 /* The owner dies after delivering half of the step. The next owner must deliver only the samples
- * that the trainer does not have, although the ledger does not record the delivered samples yet. */
+ * that the trainer does not have, although the store does not record the delivered samples yet. */
 Test (steps, step_continues_at_another_instance_after_its_owner_died)
 {
   Cluster *cluster = cluster_new (false);
@@ -100,8 +100,8 @@
 }
 
 /* Pulls of a strict subscription have an empty cursor, which does not tell a replaced owner that
- * the step has a new owner. The replaced owner's write of the ledger must fail because the owner
- * row has changed, before any sample is delivered. */
+ * the step has a new owner. Before it delivers samples, an owner records them in the store (the
+ * ledger). This write of the replaced owner must fail, because the owner row has changed. */
 Test (steps, replaced_owner_of_a_strict_step_fails_to_write_the_ledger)
 {
   Cluster *cluster = cluster_new (true);
