--- a/tests/process/pt-cluster.c
+++ b/tests/process/pt-cluster.c
@@ -400,7 +400,7 @@
   return n;
 }
 
-/* Starts the program with one --address option for each running instance, then the options. */
+/* Starts the program with one --address option for each running instance, followed by `options`. */
 static void
 start_program_with_addresses (PtCluster *cluster,
                               PtProcess *process,
--- a/tests/process/pt-cluster.h
+++ b/tests/process/pt-cluster.h
@@ -88,11 +88,11 @@
 struct json_object *pt_read_log (PtCluster *cluster, PtProgram *standin);
 /* Returns a number of the stand-in's log; -1: the log has no such key. */
 int64_t pt_read_log_counter (PtCluster *cluster, PtProgram *standin, const char *key);
-/* Returns how often the endpoint started the call with this key: its x-order header, or else its
- * prompt or body. */
+/* Returns how often the endpoint started the call that `key` identifies: by the x-order header
+ * of the call, or by its prompt or body if it has no such header. */
 int64_t pt_count_call_runs (PtCluster *cluster, PtProgram *endpoint, const char *key);
 
-/* Start a stand-in client that sends its calls to the instances running now. */
+/* Each starts a stand-in client that sends its calls to the instances running now. */
 void pt_start_trainer (PtCluster *cluster, PtProcess *trainer, const char *const *options);
 void pt_start_load_generator (PtCluster *cluster, PtProcess *load, const char *const *options);
 /* Waits until the stand-in client ends and returns the JSON summary that it printed; the caller
--- a/tests/process/pt-relay.c
+++ b/tests/process/pt-relay.c
@@ -17,7 +17,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Interval at which a chunk whose delay is over checks whether all earlier chunks are written. */
+/* Interval at which a chunk that has had its delay is checked again, while an earlier chunk is
+ * not yet written. */
 #define CHUNK_ORDER_POLL_INTERVAL (2 * LB_MSEC)
 
 /* A client's connection to the relay, and the relay's connection to the target for that client. */
--- a/tests/process/pt-resources.c
+++ b/tests/process/pt-resources.c
@@ -35,7 +35,7 @@
 {
   struct json_object *resource = json_tokener_parse (resource_json);
 
-  PT_ASSERT_MSG (resource != NULL, "%s", resource_json);
+  PT_ASSERT_MSG (resource != NULL, "expected valid JSON, got %s", resource_json);
   json_object_array_add (resources, resource);
 }
 
@@ -71,7 +71,8 @@
   pt_apply_change (cluster, pending->instance, pending->changes, "*", &response);
   bool accepted = si_response_is_ok (&response);
   PT_ASSERT_MSG (accepted || response.status == 503 || response.failure != LB_OK,
-                 "unexpected status %d: %s", response.status, response.body);
+                 "expected a success, status 503 or no response, got status %d: %s",
+                 response.status, response.body);
   si_response_clear (&response);
   return accepted;
 }
--- a/tests/process/pt-shared.c
+++ b/tests/process/pt-shared.c
@@ -101,7 +101,7 @@
 /* --- Calls to instances --- */
 
 static void
-store_response (LhFetch *fetch, const LhResult *result, void *user)
+copy_response_to_cluster (LhFetch *fetch, const LhResult *result, void *user)
 {
   PsCluster *cluster = user;
   const char *retry_after = lh_fetch_get_response_header (fetch, "Retry-After");
@@ -141,7 +141,7 @@
 {
   LhHeader headers[MAX_REQUEST_HEADERS] = { { "Attempt-Id", id }, { "Deadline-Ms", "20000" } };
   size_t n_headers = 2;
-  const LhHandlers handlers = { .on_done = store_response };
+  const LhHandlers handlers = { .on_done = copy_response_to_cluster };
   const LhRequest request = { .method = method,
                               .address = cluster->instances[instance].address,
                               .path = path,
@@ -177,8 +177,8 @@
   return instance == 0 ? &cluster->store.server : &cluster->store.second_server;
 }
 
-/* Returns the settings of the duties, such as usage reports; NULL if has_duties is not set. Usage
- * windows last 1 s to keep the tests short. */
+/* Returns the settings group "duties" (usage reports and autoscaling); NULL if has_duties is not
+ * set. Usage windows last 1 s to keep the tests short. */
 static char *
 make_duties_settings_json (const PsCluster *cluster)
 {
@@ -230,7 +230,7 @@
 void
 ps_fetch_metrics (PsCluster *cluster, size_t instance)
 {
-  const LhHandlers handlers = { .on_done = store_response };
+  const LhHandlers handlers = { .on_done = copy_response_to_cluster };
   const LhRequest request = { .method = "GET",
                               .address = cluster->instances[instance].metrics_address,
                               .path = "/metrics",
--- a/tests/process/pt-shared.h
+++ b/tests/process/pt-shared.h
@@ -11,8 +11,9 @@
 
 #include <criterion/criterion.h>
 
-/* Tests of instances on a shared platform. The instances are real processes; the test process runs
- * stand-ins for the store, the endpoints, the control plane and the callers in one event loop. */
+/* Helpers for tests of instances that share a platform. The instances are real processes; the
+ * test process runs stand-ins for the store, the endpoints, the control plane and the callers in
+ * one event loop. */
 
 #define PS_MAX_INSTANCES 3
 #define PS_N_ENGINES 3
@@ -36,10 +37,11 @@
   SiEndpoint engines[PS_N_ENGINES]; /* endpoints of service "engines" */
   SiEndpoint lookup;                /* endpoint of service "lookups" */
   SiControlPlane control_plane;
-  bool has_duties; /* set before instances start: they report usage to the platform */
+  bool has_duties; /* instances report usage and autoscale; to be set before they start */
   PsInstance instances[PS_MAX_INSTANCES];
   size_t n_instances;
-  const char *organisations_json; /* added to the desired state as ", NAME: VALUE"; NULL: none */
+  /* organisations in the desired state, as text ", NAME: VALUE"; NULL: none */
+  const char *organisations_json;
   /* Headers that ps_start_call and ps_call send. */
   const char *api_key;              /* value of header Api-Key; NULL: not sent */
   const char *second_api_key;       /* value of a second Api-Key header; NULL: not sent */
