--- a/tests/process/test-chaos.c
+++ b/tests/process/test-chaos.c
@@ -11,8 +11,10 @@
 
 #define N_STEPS "5" /* steps that the trainer runs */
 #define N_INJECTED_FAULTS 24
-#define STEP_STORED_WAIT (5 * LB_SEC) /* for a step opened during an outage to be stored */
-#define FAULTS_PER_WEIGHT_VERSION 4   /* the trainer needs one new version for each of its steps */
+#define STEP_STORED_WAIT (5 * LB_SEC) /* time to store a step that was opened in an outage */
+/* A weight version is published once per this number of faults; the trainer needs a new one for
+ * each of its steps. */
+#define FAULTS_PER_WEIGHT_VERSION 4
 
 static const char *const engine_options[] = {
   "--tokens-per-second", "150", "--vary-length", "--version", "40", "--load-ms", "300", NULL
@@ -192,8 +194,9 @@
   pause_for_random_time (fixture, 300, 900);
 }
 
-/* Kills the first two instances once each. The third one survives, because the trainer has a fixed
- * address list and needs one address that stays valid. */
+/* Kills and replaces instance 0 at the first call, instance 1 at the second one, and none after
+ * that. Instance 2 survives, because the trainer has a fixed address list and needs one address
+ * that stays valid. */
 static void
 kill_and_replace_next_instance (Fixture *fixture)
 {
@@ -329,12 +332,14 @@
  * suspended. The trainer must get each sample once, labelled with its weight version and within the
  * staleness bound. Completion calls must get complete responses or typed errors, and no order may
  * run twice. */
-Test (chaos, guarantees_hold_under_faults_around_instances)
+Test (chaos, guarantees_hold_under_faults_without_killed_instances)
 {
   check_guarantees_under_faults (1, false);
 }
 
-/* Injects the faults of the test above, and also kills and replaces two of the three instances. */
+/* Injects random faults, suspends instances, and kills and replaces two of the three instances.
+ * As without the kills, the trainer must get each sample once, completion calls must get
+ * complete responses or typed errors, and no order may run twice. */
 Test (chaos, guarantees_hold_while_instances_are_killed)
 {
   check_guarantees_under_faults (2, true);
--- a/tests/process/test-config.c
+++ b/tests/process/test-config.c
@@ -254,7 +254,7 @@
 
 typedef struct
 {
-  PtProgram *excluded; /* instance that is not asked; NULL: all are asked */
+  PtProgram *excluded; /* instance that the search skips; NULL: none */
   PtProgram *found;    /* lease holder; NULL: no instance reports that it holds the lease */
   int64_t fence;       /* fencing token of the found holder */
 } LeaseHolderSearch;
--- a/tests/process/test-crashing.c
+++ b/tests/process/test-crashing.c
@@ -23,11 +23,14 @@
 #define N_LOOKUPS 3
 #define FATAL_BODY "BAD"
 #define FATAL_BODY_BASE64 "QkFE"
-#define CRASH_PROPAGATION_TIME (3 * LB_SEC) /* from the third crash until all instances know it */
-#define MAX_RUNS_AFTER_PROPAGATION 3 /* allowed runs of the fatal request after the propagation */
+/* Within this time after the third crash, all instances must know of the crashes. */
+#define CRASH_PROPAGATION_TIME (3 * LB_SEC)
+/* allowed runs of a fatal request after CRASH_PROPAGATION_TIME */
+#define MAX_RUNS_AFTER_PROPAGATION 3
 #define N_FATAL_CALL_REPEATS 12
 #define N_BATCH_ITEMS 6
-/* Without quarantine this is time for more than MAX_RUNS_AFTER_PROPAGATION runs. */
+/* Time in which runs of a fatal item of a batch are counted. Without quarantine there would be
+ * more than MAX_RUNS_AFTER_PROPAGATION. */
 #define BATCH_OBSERVATION_TIME (8 * LB_SEC)
 
 typedef struct
@@ -82,7 +85,7 @@
     ps_run_loop_once (&fixture->cluster);
 }
 
-/* Sends a call with an unused id and waits for the response, which is then in the cluster. */
+/* Sends a call with an unused id and waits for the response, which is then in fixture->cluster. */
 static void
 send_call_with_new_id (Fixture *fixture, size_t instance, const char *path, const char *body)
 {
--- a/tests/process/test-daemon.c
+++ b/tests/process/test-daemon.c
@@ -61,7 +61,7 @@
   fclose (out);
 }
 
-Test (daemon, options_and_settings_set_the_exit_code)
+Test (daemon, exit_code_is_0_for_valid_and_2_for_invalid_options_or_settings)
 {
   char folder[] = "/tmp/lentilspindle-daemon-XXXXXX";
   char settings_path[64], log_path[64], text[1024];
@@ -87,8 +87,9 @@
   cr_assert_eq (run_program_for_exit_code (check, log_path), 2);
   cr_assert_eq (run_program_for_exit_code (run, log_path), 2);
   read_file (log_path, text, sizeof text);
-  cr_assert (strstr (text, "http.max_body"), "expected text is missing in: %s", text);
-  cr_assert (strstr (text, settings_path), "expected text is missing in: %s", text);
+  cr_assert (strstr (text, "http.max_body"), "expected http.max_body in the log, got %s", text);
+  cr_assert (strstr (text, settings_path), "expected the path of the settings in the log, got %s",
+             text);
   unlink (settings_path);
   cr_assert_eq (run_program_for_exit_code (run, log_path), 2);
   unlink (log_path);
@@ -123,7 +124,8 @@
   write_file (settings_path, address_settings);
   const char *const daemon_argv[] = { "lentilspindled", "--config", settings_path, NULL };
   cr_assert_eq (run_program_until_exit (daemon_argv, log_path, text, sizeof text), 1);
-  cr_assert (strstr (text, "front_cannot_listen"), "expected text is missing in: %s", text);
+  cr_assert (strstr (text, "front_cannot_listen"),
+             "expected event front_cannot_listen in the log, got %s", text);
   pt_process_clear (&port_owner);
   unlink (settings_path);
   unlink (log_path);
--- a/tests/process/test-duties.c
+++ b/tests/process/test-duties.c
@@ -42,7 +42,8 @@
     }
 }
 
-/* Tests that the platform has been told these numbers of calls of "post" and "mill". */
+/* Returns whether the usage reports give these numbers of calls of organisations "post" and
+ * "mill". */
 static bool
 is_reported_usage_equal (const PsCluster *cluster, int64_t post, int64_t mill)
 {
@@ -64,7 +65,7 @@
 }
 
 static void
-check_reports_and_clear (PsCluster *cluster)
+check_usage_reports_and_clear (PsCluster *cluster)
 {
   cr_assert_eq (cluster->control_plane.conflicting_reports, 0);
   cr_assert_eq (cluster->control_plane.unidentified_calls, 0);
@@ -81,7 +82,7 @@
   send_calls_with_key (&cluster, 1, "mill-1", 3);
   PS_WAIT_UNTIL (&cluster, is_reported_usage_equal (&cluster, 7, 3));
   cr_assert_eq (cluster.control_plane.stale_calls, 0);
-  check_reports_and_clear (&cluster);
+  check_usage_reports_and_clear (&cluster);
 }
 
 /* A call takes 8 s, longer than its usage window stays open. It must be reported in the window in
@@ -99,7 +100,7 @@
   cr_assert_eq (cluster.n_responses, responses_before, "the call ended before it was reported");
   PS_WAIT_UNTIL (&cluster, cluster.n_responses > responses_before);
   cr_assert_eq (cluster.response_status, 200);
-  check_reports_and_clear (&cluster);
+  check_usage_reports_and_clear (&cluster);
 }
 
 /* The instance that served the calls and reports usage is killed 300 ms after its first usage row
@@ -119,7 +120,7 @@
   pt_process_signal (&cluster.instances[killed].process, SIGKILL);
   send_calls_with_key (&cluster, 1 - killed, "mill-1", 2);
   PS_WAIT_UNTIL (&cluster, is_reported_usage_equal (&cluster, 4, 2));
-  check_reports_and_clear (&cluster);
+  check_usage_reports_and_clear (&cluster);
 }
 
 /* The platform applies usage reports but its responses are lost; later it rejects all calls with
@@ -139,12 +140,12 @@
   cluster.control_plane.mode = SI_CONTROL_PLANE_NORMAL;
   send_calls_with_key (&cluster, 1, "post-1", 1);
   PS_WAIT_UNTIL (&cluster, is_reported_usage_equal (&cluster, 4, 0));
-  check_reports_and_clear (&cluster);
+  check_usage_reports_and_clear (&cluster);
 }
 
 /* The instance that reports usage gets SIGTERM. The other instance must take over the reports, and
  * must also report the calls that the stopped instance served until its exit. */
-Test (duties, graceful_stop_hands_the_duty_over)
+Test (duties, stopped_instance_hands_usage_reports_over)
 {
   PsCluster cluster;
 
@@ -157,5 +158,5 @@
   PS_WAIT_UNTIL (&cluster, cluster.instances[stopped].process.ended);
   PS_WAIT_UNTIL (&cluster, is_reported_usage_equal (&cluster, 3, 0));
   PS_WAIT_UNTIL (&cluster, find_usage_reporter (&cluster) == 1 - stopped);
-  check_reports_and_clear (&cluster);
+  check_usage_reports_and_clear (&cluster);
 }
--- a/tests/process/test-endpoints.c
+++ b/tests/process/test-endpoints.c
@@ -6,7 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define LEAVE_PROPAGATION_TIME (3 * LB_SEC) /* until a leaving engine gets no new work */
+/* A leaving engine must get no new calls after this time. */
+#define LEAVE_PROPAGATION_TIME (3 * LB_SEC)
 
 static bool
 has_engine_generated_tokens (PtCluster *cluster, void *user)
@@ -83,7 +84,7 @@
 /* An engine announces that it leaves, as it does shortly before it is shut down. Calls that it
  * still gets from a retry, a stale load report or the queue would be lost. After 3 s it must get no
  * new calls, and the calls that it has must complete. */
-Test (leaving, engine_that_announces_it_gets_no_new_work_after_3_s)
+Test (leaving, engine_that_announces_leaving_gets_no_new_work_after_3_s)
 {
   PtCluster cluster;
 
@@ -95,7 +96,7 @@
 
 /* An operator marks the endpoint resource of an engine as leaving, and the engine itself does not
  * know. After 3 s it must get no new calls, and the calls that it has must complete. */
-Test (leaving, engine_that_the_operator_retires_gets_no_new_work_after_3_s)
+Test (leaving, engine_that_the_operator_marks_leaving_gets_no_new_work_after_3_s)
 {
   PtCluster cluster;
 
--- a/tests/process/test-membership.c
+++ b/tests/process/test-membership.c
@@ -11,13 +11,13 @@
 
 typedef struct
 {
-  PtProgram *queried; /* instance that is asked for entry addresses */
-  const char *name;   /* instance to look for in the response */
+  PtProgram *queried; /* instance that is asked for the addresses that a caller may use */
+  const char *name;   /* name of the instance to find in the response */
   size_t n_addresses; /* number of addresses in the response */
 } EntryQuery;
 
-/* Asks instance query->queried for the entry addresses of a caller, stores their number, and
- * returns whether instance query->name is among them. */
+/* Asks instance query->queried for the instance addresses that a caller may use (entry
+ * addresses), stores their number, and returns whether instance query->name is among them. */
 static bool
 find_instance_in_entry_addresses (PtCluster *cluster, EntryQuery *query)
 {
--- a/tests/process/test-relay.c
+++ b/tests/process/test-relay.c
@@ -46,7 +46,7 @@
   return error;
 }
 
-/* A relay that refuses connections for some seconds gave up its port meanwhile. When another
+/* Guards against a relay that gives up its port while it refuses connections: when another
  * program bound the port, the relay could not listen again, and the test was aborted. */
 Test (relay, port_stays_reserved_while_connections_are_refused)
 {
--- a/tests/process/test-shared.c
+++ b/tests/process/test-shared.c
@@ -67,9 +67,10 @@
   ps_cluster_clear (&cluster);
 }
 
-/* An engine restarts with the same id between two weight versions, and its order counter starts at
- * zero again. An order with the counter of the previous start would be rejected: the engine would
- * keep its old weights, and its samples would be discarded as stale. */
+/* An engine counts the orders to load weights that it accepts, and restarts with the same id and
+ * a count of zero between two weight versions. An order numbered by the count before the restart
+ * would be rejected: the engine would keep its old weights, and its samples would be discarded
+ * as stale. */
 Test (shared, restarted_engine_accepts_the_next_weights)
 {
   PsCluster cluster;
@@ -117,8 +118,8 @@
   free (text);
 }
 
-/* Returns whether the instance receives three endpoint lists through the catalog without a call to
- * the store that lists endpoints. */
+/* Returns whether the instance gets three endpoint lists that another instance publishes (the
+ * catalog) while it sends no list call for endpoints to the store. */
 static bool
 gets_endpoints_from_catalog_only (PsCluster *cluster, size_t instance)
 {
@@ -174,8 +175,9 @@
   return n_found > 0;
 }
 
-/* One of three instances, the publisher, lists 50 endpoints for all. The others must notice when an
- * endpoint drains. After the publisher is killed, another instance must take over. */
+/* One of three instances, the publisher, lists 50 endpoints for all. The other two must notice
+ * when an endpoint drains. After the publisher is killed, another instance must publish the
+ * list. */
 Test (shared, one_instance_lists_endpoints_for_all_instances)
 {
   PsCluster cluster;
@@ -204,7 +206,7 @@
 
 /* The endpoints' table contains a row of an unknown service and two invalid rows. They must not
  * affect calls or get weight orders, and each must be logged once. */
-Test (shared, rows_of_other_writers_are_ignored)
+Test (shared, unknown_and_invalid_endpoint_rows_are_ignored)
 {
   static const char stray_row[]
       = "{\"service\": \"strangers\", \"address\": \"127.0.0.1:1\", \"zone\": \"hall-a\","
@@ -478,7 +480,7 @@
   ps_cluster_clear (&cluster);
 }
 
-/* Returns whether the result at this position is listed; then asserts that it is complete and
+/* Returns whether the result at this position is listed. If so, asserts that it is complete and
  * longer than `length`. */
 static bool
 is_long_result_listed (PsCluster *cluster, size_t instance, int position, size_t length)
@@ -547,9 +549,10 @@
   ps_cluster_clear (&cluster);
 }
 
-/* The response to the write of a batch's row is lost, and the retry goes through another instance.
- * The watch delivers the row before the response to the retry. The instance must check the row
- * again after that response; otherwise the batch is accepted, but none of its items starts. */
+/* The response to the write of a batch's row is lost, and the write is retried through another
+ * instance. A watch of the store delivers the row before the retry is answered. The instance
+ * must check the row again after that answer; otherwise the batch is accepted, but none of its
+ * items starts. */
 Test (shared, batch_row_seen_before_the_write_response_is_run)
 {
   PsCluster cluster;
--- a/tests/process/test-silence.c
+++ b/tests/process/test-silence.c
@@ -49,7 +49,7 @@
   PtCluster cluster;
   PtRelay relay;
   PtProgram *instance;
-  PtProgram *endpoint; /* the instance connects to it through the relay */
+  PtProgram *endpoint; /* engine or service that the instance reaches through the relay */
 } Fixture;
 
 static void
@@ -106,8 +106,9 @@
   pt_relay_blackhole_connections (&fixture.relay);
 
   pt_wait_until (&fixture.cluster, "the call is done", is_call_done, &pending_call);
-  cr_assert_eq (pending_call.result.outcome, SI_CALL_COMPLETE, "unexpected outcome %d: %s",
-                pending_call.result.outcome, pending_call.result.error);
+  cr_assert_eq (pending_call.result.outcome, SI_CALL_COMPLETE,
+                "expected SI_CALL_COMPLETE, got outcome %d: %s", pending_call.result.outcome,
+                pending_call.result.error);
   cr_assert_eq (pt_read_log_counter (&fixture.cluster, fixture.endpoint, "resume_mismatches"), 0);
   spec.prompt = "a third";
   cr_assert_eq (pt_run_checked_call (&fixture.cluster, &spec).outcome, SI_CALL_COMPLETE);
@@ -138,8 +139,9 @@
   pt_relay_blackhole_connections (&fixture.relay);
 
   pt_wait_until (&fixture.cluster, "the call is done", is_call_done, &pending_call);
-  cr_assert_eq (pending_call.result.outcome, SI_CALL_FAILED, "unexpected outcome %d: %s",
-                pending_call.result.outcome, pending_call.result.error);
+  cr_assert_eq (pending_call.result.outcome, SI_CALL_FAILED,
+                "expected SI_CALL_FAILED, got outcome %d: %s", pending_call.result.outcome,
+                pending_call.result.error);
   cr_assert (strcmp (pending_call.result.error, "deadline") == 0
                  || strcmp (pending_call.result.error, "outcome_unknown") == 0,
              "expected error deadline or outcome_unknown, got %s", pending_call.result.error);
--- a/tests/process/test-slow.c
+++ b/tests/process/test-slow.c
@@ -26,20 +26,23 @@
                                .max_tokens = 60,
                                .stream = true };
   SiCheckedCallResult result = pt_run_checked_call (&cluster, &stream);
-  cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "stream: unexpected outcome %d: %s",
-                result.outcome, result.error);
+  cr_assert_eq (result.outcome, SI_CALL_COMPLETE,
+                "stream: expected SI_CALL_COMPLETE, got outcome %d: %s", result.outcome,
+                result.error);
   stream.stream = false;
   result = pt_run_checked_call (&cluster, &stream);
-  cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "unary call: unexpected outcome %d: %s",
-                result.outcome, result.error);
+  cr_assert_eq (result.outcome, SI_CALL_COMPLETE,
+                "unary call: expected SI_CALL_COMPLETE, got outcome %d: %s", result.outcome,
+                result.error);
   SiCheckedCallSpec service_call = { .kind = SI_CHECKED_CALL_SERVICE,
                                      .address = instance->address,
                                      .model = "/services/lookup/order",
                                      .prompt = "one",
                                      .order = "order-1" };
   result = pt_run_checked_call (&cluster, &service_call);
-  cr_assert_eq (result.outcome, SI_CALL_COMPLETE, "service call: unexpected outcome %d: %s",
-                result.outcome, result.error);
+  cr_assert_eq (result.outcome, SI_CALL_COMPLETE,
+                "service call: expected SI_CALL_COMPLETE, got outcome %d: %s", result.outcome,
+                result.error);
   cr_assert_eq (pt_count_call_runs (&cluster, service, "order-1"), 1);
   pt_drain_instances (&cluster);
   pt_cluster_clear (&cluster);
--- a/tests/process/test-steps.c
+++ b/tests/process/test-steps.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #define STEP_OWNER_ROW_PATH "/table/row?key=step%2Freader-trainer%2F1"
-#define N_SAMPLES 24 /* of a step: 6 groups of 4 */
+#define N_SAMPLES 24 /* samples of a step, in 6 groups of 4 */
 
 static const char *const engine_options[]
     = { "--tokens-per-second", "100", "--vary-length", "--version", "40", NULL };
--- a/tests/process/test-tickets.c
+++ b/tests/process/test-tickets.c
@@ -74,7 +74,7 @@
   SiResponse response;
 
   si_client_call (&fixture->cluster.client, &call, &response);
-  cr_assert (si_response_is_ok (&response), "unexpected error %s",
+  cr_assert (si_response_is_ok (&response), "expected a success, got error %s",
              si_response_get_error_type (&response));
   struct json_object *object = json_tokener_parse (response.body);
   struct json_object *text = NULL;
@@ -114,11 +114,11 @@
   fixture_init (&fixture);
   create_ticket (&fixture, fixture.first, ticket);
   send_order (&fixture, fixture.second, "x-ticket", ticket, &response);
-  cr_assert (si_response_is_ok (&response), "unexpected error %s",
+  cr_assert (si_response_is_ok (&response), "expected a success, got error %s",
              si_response_get_error_type (&response));
   si_response_clear (&response);
   send_order (&fixture, fixture.first, "x-ticket", ticket, &response);
-  cr_assert (si_response_is_ok (&response), "unexpected error %s",
+  cr_assert (si_response_is_ok (&response), "expected a success, got error %s",
              si_response_get_error_type (&response));
   si_response_clear (&response);
   cr_assert_eq (pt_count_call_runs (&fixture.cluster, fixture.service, "tea"), 1);
@@ -148,7 +148,8 @@
 
   send_order (retry->fixture, retry->instance, "idempotency-key", "k1", &response);
   bool ok = si_response_is_ok (&response);
-  cr_assert (ok || response.not_run, "unexpected error %s", si_response_get_error_type (&response));
+  cr_assert (ok || response.not_run, "expected a success or not run, got error %s",
+             si_response_get_error_type (&response));
   si_response_clear (&response);
   return ok;
 }
@@ -165,8 +166,8 @@
   pt_inject_fault (&fixture.cluster, &fixture.cluster.platform,
                    "{\"mode\": \"lose_reply\", \"path\": \"/table/transact\"}");
   send_order (&fixture, fixture.first, "idempotency-key", "k1", &response);
-  cr_assert (si_response_is_ok (&response) || response.not_run, "unexpected error %s",
-             si_response_get_error_type (&response));
+  cr_assert (si_response_is_ok (&response) || response.not_run,
+             "expected a success or not run, got error %s", si_response_get_error_type (&response));
   cr_assert_eq (pt_count_call_runs (&fixture.cluster, fixture.service, "tea"),
                 response.not_run ? 0 : 1);
   si_response_clear (&response);
@@ -192,12 +193,13 @@
   fixture_init (&fixture);
   pt_inject_fault (&fixture.cluster, &fixture.cluster.platform, "{\"mode\": \"down\"}");
   send_order (&fixture, fixture.first, "idempotency-key", "k1", &response);
-  cr_assert (response.not_run, "unexpected error %s", si_response_get_error_type (&response));
+  cr_assert (response.not_run, "expected not run, got error %s",
+             si_response_get_error_type (&response));
   si_response_clear (&response);
   cr_assert_eq (pt_count_call_runs (&fixture.cluster, fixture.service, "tea"), 0);
   create_ticket (&fixture, fixture.first, ticket);
   send_order (&fixture, fixture.first, "x-ticket", ticket, &response);
-  cr_assert (si_response_is_ok (&response), "unexpected error %s",
+  cr_assert (si_response_is_ok (&response), "expected a success, got error %s",
              si_response_get_error_type (&response));
   si_response_clear (&response);
   cr_assert_eq (pt_count_call_runs (&fixture.cluster, fixture.service, "tea"), 1);
