--- a/tests/soak/sk-callers.c
+++ b/tests/soak/sk-callers.c
@@ -31,7 +31,7 @@
   LbLink link;
   SkCallers *callers;
   SkInstance *instance;
-  int called_process_start; /* the instance's n_process_starts when the call started */
+  int called_process_start; /* n_process_starts of the instance when the call started */
   CallKind kind;
   LbName id;
   int64_t route; /* number of the newest added route when the call started; 0: none */
@@ -78,7 +78,7 @@
 }
 
 /* Returns true if the called process still runs, and neither the process nor the store was
- * disturbed after `since`. */
+ * disturbed (start, signal, exit or fault) after `since`. */
 static bool
 was_called_instance_undisturbed (const Call *call, LbTime since)
 {
@@ -136,11 +136,11 @@
 }
 
 /* Checks that a graceful shutdown aborts no request. A request that ran at a service must be
- * answered unless the process was disturbed after the request was sent. A request may be lost
- * without an answer if it arrives while the instance closes the connection: it is not forwarded
- * then. */
+ * answered, unless the process was disturbed (signal, exit or fault) after the request was sent.
+ * A request that arrives while the instance closes the connection may be lost without an answer,
+ * since it is not forwarded. */
 static void
-check_connection_loss (const Call *call, const LhResult *result)
+check_shutdown_aborted_no_request (const Call *call, const LhResult *result)
 {
   const SkInstance *instance = call->instance;
   const SkRequest *request = sk_request_find (call->callers->world, call->id);
@@ -164,7 +164,7 @@
   if (result->failure != LB_OK)
     {
       world->n_failed++;
-      check_connection_loss (call, result);
+      check_shutdown_aborted_no_request (call, result);
       return;
     }
   if (result->status == 200 && !is_complete_response (call, fetch, result))
@@ -198,10 +198,10 @@
   call_free (call);
 }
 
-/* Returns a random instance whose address callers can know, even if the instance is paused or
- * shutting down; NULL if there is none. */
+/* Returns a random instance with a process and a known address, which may be paused or shutting
+ * down; NULL if there is none. */
 static SkInstance *
-choose_random_reachable_instance (SkWorld *world)
+choose_random_instance_with_address (SkWorld *world)
 {
   size_t first = (size_t)sk_random_int (world, 0, (int64_t)world->n_instances - 1);
 
@@ -272,7 +272,7 @@
   if (callers->stopped || callers->calls.length > MAX_CONCURRENT_CALLS)
     return;
   if (now >= callers->next_call_at
-      && (instance = choose_random_reachable_instance (callers->world)))
+      && (instance = choose_random_instance_with_address (callers->world)))
     {
       callers->next_call_at = now + CALL_INTERVAL;
       start_call (callers, instance,
--- a/tests/soak/sk-crasher.c
+++ b/tests/soak/sk-crasher.c
@@ -34,7 +34,7 @@
   int64_t n_calls;
   LbTime next_call_at;
   int n_crashes;
-  LbTime quarantined_by; /* end of QUARANTINE_TIME and its slack; 0: not enough crashes yet */
+  LbTime quarantined_by; /* time by which all instances must quarantine; 0: too few crashes */
   int n_runs_after_quarantine;
   bool stopped;
 };
--- a/tests/soak/sk-crasher.h
+++ b/tests/soak/sk-crasher.h
@@ -15,7 +15,7 @@
 void sk_crasher_send_if_due (SkCrasher *crasher, LbTime now);
 /* Stops sending fatal requests. */
 void sk_crasher_stop (SkCrasher *crasher);
-/* To be called when a service has started the fatal request `id` and is about to crash. */
+/* Records that a service has started the fatal request `id` and is about to crash. */
 void sk_crasher_record_crash (SkCrasher *crasher, const char *id, const char *service);
 
 #endif
--- a/tests/soak/sk-faults.c
+++ b/tests/soak/sk-faults.c
@@ -54,13 +54,13 @@
 }
 
 static LbTime
-random_duration (SkWorld *world, int64_t low_ms, int64_t high_ms)
+draw_random_duration (SkWorld *world, int64_t low_ms, int64_t high_ms)
 {
   return sk_random_int (world, low_ms, high_ms) * LB_MSEC;
 }
 
 static PtRelayFault
-random_relay_fault (SkWorld *world)
+draw_random_relay_fault (SkWorld *world)
 {
   switch (sk_random_int (world, 0, 3))
     {
@@ -71,7 +71,7 @@
     case 2:
       return (PtRelayFault){ .drops_to_target = true };
     default:
-      return (PtRelayFault){ .delay = random_duration (world, 20, 600) };
+      return (PtRelayFault){ .delay = draw_random_duration (world, 20, 600) };
     }
 }
 
@@ -80,7 +80,7 @@
 static void
 kill_random_instance (SkWorld *world)
 {
-  sk_instance_kill (choose_random_instance (world), random_duration (world, 100, 2500));
+  sk_instance_kill (choose_random_instance (world), draw_random_duration (world, 100, 2500));
 }
 
 /* Simulates a power failure of the machines of all instances. */
@@ -88,13 +88,13 @@
 kill_all_instances (SkWorld *world)
 {
   for (size_t i = 0; i < world->n_instances; i++)
-    sk_instance_kill (&world->instances[i], random_duration (world, 300, 700));
+    sk_instance_kill (&world->instances[i], draw_random_duration (world, 300, 700));
 }
 
 static void
 pause_random_instance (SkWorld *world)
 {
-  sk_instance_pause (choose_random_instance (world), random_duration (world, 100, 4000));
+  sk_instance_pause (choose_random_instance (world), draw_random_duration (world, 100, 4000));
 }
 
 /* Pauses the instance that runs the trainer's batch, long enough that another instance can take the
@@ -105,7 +105,7 @@
   SkInstance *owner = sk_find_batch_owner (world);
 
   if (owner)
-    sk_instance_pause (owner, random_duration (world, 1500, 4500));
+    sk_instance_pause (owner, draw_random_duration (world, 1500, 4500));
 }
 
 static void
@@ -114,7 +114,7 @@
   SkInstance *owner = sk_find_batch_owner (world);
 
   if (owner)
-    sk_instance_kill (owner, random_duration (world, 100, 2500));
+    sk_instance_kill (owner, draw_random_duration (world, 100, 2500));
 }
 
 static void
@@ -124,7 +124,7 @@
 }
 
 static void
-reload_random_instance (SkWorld *world)
+reload_settings_of_random_instance (SkWorld *world)
 {
   SkInstance *instance = choose_random_instance (world);
 
@@ -142,8 +142,8 @@
   sk_log (world, "%s: store connection is impaired", instance->name);
   instance->last_disturbed_at = lb_clock_monotonic ();
   world->last_disturbed_at = instance->last_disturbed_at;
-  instance->store_relay.fault = random_relay_fault (world);
-  instance->heal_at = instance->last_disturbed_at + random_duration (world, 300, 6000);
+  instance->store_relay.fault = draw_random_relay_fault (world);
+  instance->heal_at = instance->last_disturbed_at + draw_random_duration (world, 300, 6000);
 }
 
 static void
@@ -176,12 +176,12 @@
       = { SI_ROW_STORE_UNAVAILABLE, SI_ROW_STORE_SILENT, SI_ROW_STORE_LOSES_REPLY };
 
   world->store.mode = modes[sk_random_int (world, 0, 2)];
-  world->store_heal_at = lb_clock_monotonic () + random_duration (world, 200, 4000);
+  world->store_heal_at = lb_clock_monotonic () + draw_random_duration (world, 200, 4000);
   sk_log (world, "store: fault mode %d", world->store.mode);
 }
 
 static void
-discard_watch_history (SkWorld *world)
+discard_store_watch_history (SkWorld *world)
 {
   world->store.oldest_watchable_version = world->store.version;
   world->store_last_disturbed_at = lb_clock_monotonic ();
@@ -198,8 +198,8 @@
     return;
   sk_log (world, "%s: connections are impaired", endpoint->standin.name);
   world->last_disturbed_at = lb_clock_monotonic ();
-  endpoint->relay.fault = random_relay_fault (world);
-  endpoint->heal_at = world->last_disturbed_at + random_duration (world, 200, 3000);
+  endpoint->relay.fault = draw_random_relay_fault (world);
+  endpoint->heal_at = world->last_disturbed_at + draw_random_duration (world, 200, 3000);
 }
 
 static void
@@ -224,7 +224,7 @@
   if (!endpoint)
     return;
   world->last_disturbed_at = lb_clock_monotonic ();
-  sk_endpoint_crash (endpoint, random_duration (world, 300, 4000));
+  sk_endpoint_crash (endpoint, draw_random_duration (world, 300, 4000));
 }
 
 static void
@@ -236,7 +236,7 @@
     return;
   sk_log (world, "%s streams slowly", endpoint->standin.name);
   endpoint->standin.event_interval = SLOW_EVENT_INTERVAL;
-  endpoint->heal_at = lb_clock_monotonic () + random_duration (world, 500, 4000);
+  endpoint->heal_at = lb_clock_monotonic () + draw_random_duration (world, 500, 4000);
 }
 
 static void
@@ -265,12 +265,12 @@
                               { "pause-owner", pause_batch_owner },
                               { "kill-owner", kill_batch_owner },
                               { "stop", stop_random_instance },
-                              { "reload", reload_random_instance },
+                              { "reload", reload_settings_of_random_instance },
                               { "cut-store", impair_random_store_link },
                               { "reset-store", reset_random_store_connections },
                               { "silence-store", blackhole_store_connections },
                               { "break-store", inject_random_store_fault },
-                              { "forget-history", discard_watch_history },
+                              { "forget-history", discard_store_watch_history },
                               { "harm-endpoint", impair_random_endpoint_link },
                               { "reset-endpoint", break_random_endpoint_connections },
                               { "crash-engine", crash_spare_engine },
--- a/tests/soak/sk-one-shot.h
+++ b/tests/soak/sk-one-shot.h
@@ -13,7 +13,7 @@
 void sk_one_shot_trainers_submit_if_due (SkOneShotTrainers *one_shot_trainers, LbTime now);
 /* Stops submitting batches. */
 void sk_one_shot_trainers_stop (SkOneShotTrainers *one_shot_trainers);
-/* To be called when an engine starts an item. Items of batches of other trainers are ignored. */
+/* Records that an engine starts an item. Items of batches of other trainers are ignored. */
 void sk_one_shot_trainers_record_item_start (SkOneShotTrainers *one_shot_trainers,
                                              const char *item);
 
--- a/tests/soak/sk-trainer.c
+++ b/tests/soak/sk-trainer.c
@@ -28,7 +28,7 @@
 typedef struct
 {
   LbName item;
-  char *json; /* the result when it was first read; NULL: not read yet */
+  char *json; /* JSON of the result when it was first read; NULL: not read yet */
 } Result;
 
 struct SkTrainer
@@ -42,7 +42,7 @@
   int64_t n_read;
   LhFetch *fetch;
   SkInstance *called_instance;
-  int called_process_start; /* the called instance's n_process_starts when the call started */
+  int called_process_start; /* n_process_starts of called_instance when the call started */
   bool is_rereading;
   bool stopped;
   LbTime next_call_at;
@@ -90,8 +90,8 @@
 /* --- checks of results --- */
 
 /* Returns a description of the first fault in the text of a result; NULL if there is none. The
- * events must be complete and in order, and the result's label must list exactly their weight
- * versions. */
+ * text must have all events in order, and the weight versions in the result must be exactly
+ * those of its events. */
 static const char *
 find_text_fault (const char *item, struct json_object *result, int64_t min_version, int events)
 {
@@ -192,7 +192,7 @@
 }
 
 static void
-handle_results_page (SkTrainer *trainer, struct json_object *page)
+check_results_page (SkTrainer *trainer, struct json_object *page)
 {
   struct json_object *results = lb_json_member (page, "results");
   int64_t next_position = lb_json_int (page, "next", -1);
@@ -247,8 +247,8 @@
          && trainer->world->last_disturbed_at < since;
 }
 
-/* Returns true if the store has the head row of the batch in any of its 256 parts. The key of the
- * row is the batch id and a hash of the organisation. */
+/* Returns true if one of the 256 partitions of table "head" has the row of the batch, whose key
+ * is the batch id and a hash of the organisation. */
 static bool
 is_batch_stored (const SkTrainer *trainer)
 {
@@ -269,7 +269,7 @@
 }
 
 static void
-handle_submit_response (SkTrainer *trainer, const LhResult *result, LbTime now)
+start_reading_if_accepted (SkTrainer *trainer, const LhResult *result, LbTime now)
 {
   if (result->failure != LB_OK || result->status != 202)
     return;
@@ -277,14 +277,14 @@
   trainer->world->n_batches++;
   if (!is_batch_stored (trainer))
     sk_report_violation (trainer->world, "an accepted batch is stored",
-                         "%s was accepted by %s and has no head row", trainer->batch,
+                         "%s was accepted by %s, but the store has no row of it", trainer->batch,
                          trainer->called_instance->name);
   trainer->accepted_at = now;
   trainer->state = TRAINER_READING;
 }
 
 static void
-handle_results_response (SkTrainer *trainer, const LhResult *result, LbTime now)
+check_results_response (SkTrainer *trainer, const LhResult *result, LbTime now)
 {
   struct json_object *page = NULL;
   char *text = NULL;
@@ -302,7 +302,7 @@
   text = lb_strndup (result->body, result->body_length);
   page = json_tokener_parse (text);
   if (page)
-    handle_results_page (trainer, page);
+    check_results_page (trainer, page);
   else
     sk_report_violation (trainer->world, "complete responses",
                          "expected a page of results in JSON, got %s", text);
@@ -314,7 +314,7 @@
 }
 
 static void
-handle_delete_response (SkTrainer *trainer, const LhResult *result, LbTime now)
+begin_next_step_if_deleted (SkTrainer *trainer, const LhResult *result, LbTime now)
 {
   if (result->failure != LB_OK || result->status != 200)
     return;
@@ -338,14 +338,14 @@
   switch (trainer->state)
     {
     case TRAINER_SUBMITTING:
-      handle_submit_response (trainer, result, now);
+      start_reading_if_accepted (trainer, result, now);
       break;
     case TRAINER_DELETING:
-      handle_delete_response (trainer, result, now);
+      begin_next_step_if_deleted (trainer, result, now);
       break;
     case TRAINER_READING:
     case TRAINER_DONE:
-      handle_results_response (trainer, result, now);
+      check_results_response (trainer, result, now);
       break;
     }
 }
@@ -364,7 +364,7 @@
 }
 
 static SkInstance *
-choose_random_instance_in_service (SkWorld *world)
+choose_random_instance_accepting_calls (SkWorld *world)
 {
   SkInstance *instance
       = &world->instances[sk_random_int (world, 0, (int64_t)world->n_instances - 1)];
@@ -372,8 +372,8 @@
   return sk_instance_is_running (instance) && !instance->stopping ? instance : NULL;
 }
 
-/* Requests the results from the first unread one on. If rereading, and at random in one of five
- * calls, requests all results again. */
+/* Requests the results from the first unread position on; when rereading, and at random in one
+ * of five calls, from position 0 on. */
 static void
 request_results (SkTrainer *trainer, SkInstance *instance)
 {
@@ -438,7 +438,7 @@
                            (double)(now - trainer->started_at) / LB_SEC);
       trainer->started_at = 0;
     }
-  instance = choose_random_instance_in_service (trainer->world);
+  instance = choose_random_instance_accepting_calls (trainer->world);
   if (instance)
     start_next_call (trainer, instance);
 }
--- a/tests/soak/sk-world.c
+++ b/tests/soak/sk-world.c
@@ -20,7 +20,8 @@
 #define N_SERVICES 2
 /* time from the start of a fatal request to the crash of the service */
 #define FATAL_REQUEST_CRASH_DELAY (20 * LB_MSEC)
-/* longest delay of an order by a relay fault, or in the socket buffers of a paused instance */
+/* longest time that an order to load weights is delayed by a relay fault, or in the socket
+ * buffers of a paused instance */
 #define MAX_ORDER_DELAY (1500 * LB_MSEC)
 #define BATCH_CALL_IDLE_TIMEOUT (4 * LB_SEC)
 #define MIN_DRAIN_TIME (4 * LB_SEC) /* a draining endpoint stays up for at least this time */
@@ -246,7 +247,7 @@
 }
 
 static void
-record_disturbance (SkInstance *instance)
+record_disturbance_of_instance (SkInstance *instance)
 {
   instance->last_disturbed_at = lb_clock_monotonic ();
   instance->world->last_disturbed_at = instance->last_disturbed_at;
@@ -258,7 +259,7 @@
   if (instance->process.pid == 0 || instance->process.ended)
     return;
   sk_log (instance->world, "kill %s", instance->name);
-  record_disturbance (instance);
+  record_disturbance_of_instance (instance);
   pt_process_poll (&instance->process);
   save_process_log (instance);
   pt_process_clear (&instance->process);
@@ -275,7 +276,7 @@
   if (!sk_instance_is_running (instance))
     return;
   sk_log (instance->world, "pause %s for %lld ms", instance->name, (long long)(duration / LB_MSEC));
-  record_disturbance (instance);
+  record_disturbance_of_instance (instance);
   pt_process_signal (&instance->process, SIGSTOP);
   instance->paused = true;
   instance->resume_at = lb_clock_monotonic () + duration;
@@ -312,14 +313,14 @@
 static void
 resume_instance (SkInstance *instance)
 {
-  record_disturbance (instance);
+  record_disturbance_of_instance (instance);
   pt_process_signal (&instance->process, SIGCONT);
   instance->paused = false;
   instance->resume_at = LB_TIME_NEVER;
 }
 
 static void
-handle_process_exit (SkInstance *instance, LbTime now)
+check_process_exit_and_schedule_restart (SkInstance *instance, LbTime now)
 {
   if (!instance->stopping)
     sk_report_violation (instance->world, "no instance crashes",
@@ -329,7 +330,7 @@
     sk_report_violation (instance->world, "graceful shutdown exits with 0",
                          "%s: expected exit status 0, got wait status %x", instance->name,
                          instance->process.status);
-  record_disturbance (instance);
+  record_disturbance_of_instance (instance);
   save_process_log (instance);
   pt_process_clear (&instance->process);
   instance->address[0] = '\0';
@@ -338,11 +339,11 @@
 }
 
 static void
-apply_due_instance_events (SkInstance *instance, LbTime now)
+restart_resume_or_heal_instance_if_due (SkInstance *instance, LbTime now)
 {
   pt_process_poll (&instance->process);
   if (instance->process.pid > 0 && instance->process.ended)
-    handle_process_exit (instance, now);
+    check_process_exit_and_schedule_restart (instance, now);
   if (instance->process.pid > 0 && !instance->address[0])
     read_address_file (instance);
   if (now >= instance->restart_at)
@@ -360,7 +361,7 @@
   if (now >= instance->heal_at)
     {
       sk_log (instance->world, "%s: store connection is healed", instance->name);
-      record_disturbance (instance);
+      record_disturbance_of_instance (instance);
       instance->heal_at = LB_TIME_NEVER;
       instance->store_relay.fault = (PtRelayFault){ 0 };
     }
@@ -419,7 +420,7 @@
 
   check_request_organisation (endpoint, id, request ? SK_CALLER_ORGANISATION : "");
   if (!request)
-    return; /* the request of a scorer, which no caller has sent */
+    return; /* scorer call of a batch; no simulated caller sent it */
   request->n_runs++;
   if (!request->is_idempotent && request->n_runs > 1)
     sk_report_violation (endpoint->world, "a non-idempotent request runs at most once",
@@ -447,8 +448,9 @@
                          (double)(now - endpoint->draining_since) / LB_SEC);
 }
 
-/* Engines refuse an outdated fencing token. In addition, an instance that lost its lease longer ago
- * than an order can be delayed must not send orders at all. */
+/* Engines refuse an order to load weights with an outdated fencing token. In addition, an
+ * instance that lost its lease longer ago than an order can be delayed must not send orders at
+ * all. */
 static void
 check_fencing_token_is_current (SkWorld *world,
                                 const char *engine,
@@ -471,8 +473,8 @@
         (long long)world->highest_fencing_token);
 }
 
-/* Checks that two lease holders never use the same fencing token; engines would accept orders of
- * both. */
+/* Checks that two lease holders never use the same fencing token, since engines would accept
+ * orders of both. */
 static void
 on_load_order (SiEndpoint *standin, const char *holder, int64_t fence, bool accepted, void *user)
 {
@@ -535,7 +537,7 @@
   endpoint->standin.listener = &listener;
   endpoint->standin.fatal_body = SK_FATAL_BODY;
   endpoint->standin.user = endpoint;
-  /* calls take so long that many of them are running when a connection breaks */
+  /* long enough that many calls are running when a connection breaks */
   endpoint->standin.call_duration = 80 * LB_MSEC;
   endpoint->standin.event_interval = 25 * LB_MSEC;
   endpoint->standin.n_events = 24;
@@ -603,7 +605,7 @@
 }
 
 static void
-apply_due_endpoint_events (SkEndpoint *endpoint, LbTime now)
+heal_exit_or_restart_endpoint_if_due (SkEndpoint *endpoint, LbTime now)
 {
   if (now >= endpoint->heal_at)
     {
@@ -750,9 +752,9 @@
   event_base_loop (world->base, EVLOOP_NONBLOCK);
   now = lb_clock_monotonic ();
   for (size_t i = 0; i < world->n_instances; i++)
-    apply_due_instance_events (&world->instances[i], now);
+    restart_resume_or_heal_instance_if_due (&world->instances[i], now);
   for (size_t i = 0; i < world->n_endpoints; i++)
-    apply_due_endpoint_events (&world->endpoints[i], now);
+    heal_exit_or_restart_endpoint_if_due (&world->endpoints[i], now);
   check_usage_reports (world);
   if (world->store_heal_at != LB_TIME_NEVER)
     world->store_last_disturbed_at = now;
--- a/tests/soak/sk-world.h
+++ b/tests/soak/sk-world.h
@@ -43,7 +43,7 @@
   LbTime heal_at;              /* end of the store relay's fault; LB_TIME_NEVER: no fault */
   LbTime sigterm_at;           /* time when SIGTERM was sent */
   LbTime last_disturbed_at;    /* time of the last start, signal, exit or fault */
-  int64_t newest_served_route; /* number of the newest added route that was served; 0: none */
+  int64_t newest_served_route; /* number of the newest added route that it served; 0: none */
 } SkInstance;
 
 /* An engine or a plain service, and the relay through which instances reach it. */
@@ -60,7 +60,7 @@
   LbTime draining_since; /* time when the endpoint began to drain; 0: not draining */
 } SkEndpoint;
 
-/* A live request as observed by the service and by its caller. */
+/* A request of a simulated caller, as observed by the service and by the caller. */
 typedef struct
 {
   LbName id;  /* key of the hash table */
@@ -101,7 +101,7 @@
   LbTime config_put_at;   /* time when the newest configuration was written to the store */
   int64_t weight_version; /* newest weight version that the trainer announced */
   LbTime store_heal_at;   /* end of the store's fault; LB_TIME_NEVER: the store works */
-  LbTime store_last_disturbed_at; /* last time when the store had a fault */
+  LbTime store_last_disturbed_at; /* time when the store last had a fault */
   LbTime last_disturbed_at; /* time of the last fault of an instance, a connection or an endpoint */
   LbTime started_at;
   bool verbose;
@@ -152,13 +152,13 @@
                             void (*on_done) (LhFetch *fetch, const LhResult *result, void *user),
                             void *user);
 
-/* Queries of instances, live requests and random numbers. */
+/* Queries of instances, requests of simulated callers and random numbers. */
 bool sk_instance_is_running (const SkInstance *instance);
 /* Returns the first running instance whose log says that it runs the trainer's batch; NULL if there
  * is none. */
 SkInstance *sk_find_batch_owner (SkWorld *world);
-/* Returns true if the instance runs, is not shutting down, and neither the instance nor the store
- * was disturbed after `since`. */
+/* Returns true if the instance runs, is not shutting down, and neither the instance nor the
+ * store was disturbed (start, signal, exit or fault) after `since`. */
 bool sk_instance_was_undisturbed (const SkInstance *instance, LbTime since);
 SkRequest *sk_request_find (SkWorld *world, const char *id);
 SkRequest *sk_request_find_or_add (SkWorld *world, const char *id);
--- a/tests/soak/soak-processes.c
+++ b/tests/soak/soak-processes.c
@@ -10,9 +10,9 @@
 #include <stdio.h>
 #include <string.h>
 
-#define START_TIMEOUT (20 * LB_SEC)
-#define SETTLE_TIMEOUT (60 * LB_SEC)
-#define STOP_TIMEOUT (25 * LB_SEC)
+#define INSTANCE_START_TIMEOUT (20 * LB_SEC)
+#define LAST_STEP_TIMEOUT (60 * LB_SEC)
+#define ALL_INSTANCES_STOP_TIMEOUT (25 * LB_SEC)
 
 #define MAX_FAULT_SECONDS 3600
 
@@ -45,7 +45,7 @@
 }
 
 static void
-advance_run_once (SoakRun *run)
+send_due_calls_and_run_loop_once (SoakRun *run)
 {
   LbTime now = lb_clock_monotonic ();
 
@@ -59,7 +59,7 @@
 static void
 wait_until_instances_run (SoakRun *run)
 {
-  LbTime end = lb_clock_monotonic () + START_TIMEOUT;
+  LbTime end = lb_clock_monotonic () + INSTANCE_START_TIMEOUT;
 
   while (!are_all_instances_running (&run->world) && lb_clock_monotonic () < end)
     sk_world_run_once (&run->world);
@@ -92,7 +92,7 @@
   for (LbTime now = 0; (now = lb_clock_monotonic ()) < end;)
     {
       sk_faults_inject_if_due (&run->world, only_fault_kind, &next, now);
-      advance_run_once (run);
+      send_due_calls_and_run_loop_once (run);
     }
 }
 
@@ -102,17 +102,17 @@
 end_faults_and_check_results (SoakRun *run)
 {
   SkWorld *world = &run->world;
-  LbTime end = lb_clock_monotonic () + SETTLE_TIMEOUT;
+  LbTime end = lb_clock_monotonic () + LAST_STEP_TIMEOUT;
 
   sk_faults_end_all (world);
   sk_trainer_stop (run->trainer);
   while ((!sk_trainer_is_done (run->trainer) || !are_all_instances_running (world))
          && lb_clock_monotonic () < end)
-    advance_run_once (run);
+    send_due_calls_and_run_loop_once (run);
   if (!sk_trainer_is_done (run->trainer))
     sk_report_violation (world, "every sample is delivered",
                          "the last step is incomplete after %.0f s",
-                         (double)SETTLE_TIMEOUT / LB_SEC);
+                         (double)LAST_STEP_TIMEOUT / LB_SEC);
   sk_callers_stop (run->callers);
   sk_one_shot_trainers_stop (run->one_shot_trainers);
   sk_crasher_stop (run->crasher);
@@ -120,7 +120,7 @@
     {
       sk_trainer_reread_results (run->trainer, &world->instances[i]);
       while (sk_trainer_has_open_call (run->trainer))
-        advance_run_once (run);
+        send_due_calls_and_run_loop_once (run);
     }
 }
 
@@ -129,14 +129,14 @@
 stop_all_instances (SoakRun *run)
 {
   SkWorld *world = &run->world;
-  LbTime end = lb_clock_monotonic () + STOP_TIMEOUT;
+  LbTime end = lb_clock_monotonic () + ALL_INSTANCES_STOP_TIMEOUT;
   size_t n_running = world->n_instances;
 
   for (size_t i = 0; i < world->n_instances; i++)
     sk_instance_stop (&world->instances[i]);
   while (n_running > 0 && lb_clock_monotonic () < end)
     {
-      advance_run_once (run);
+      send_due_calls_and_run_loop_once (run);
       n_running = 0;
       for (size_t i = 0; i < world->n_instances; i++)
         {
