--- a/tests/process/pt-resources.c
+++ b/tests/process/pt-resources.c
@@ -35,7 +35,7 @@
 {
   struct json_object *resource = json_tokener_parse (resource_json);
 
-  PT_ASSERT_MSG (resource != NULL, "expected valid JSON, got %s", resource_json);
+  PT_ASSERT_MSG (resource != NULL, "%s", resource_json);
   json_object_array_add (resources, resource);
 }
 
