--- a/packages/node/tests/node-fixture.h
+++ b/packages/node/tests/node-fixture.h
@@ -23,7 +23,7 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-#define FIXTURE_TIMEOUT (20 * LB_SEC)
+#define FIXTURE_WAIT_TIMEOUT (20 * LB_SEC)
 
 /* Runs the tasks "front" (HTTP front end) and "calls" (dispatch of calls to endpoints) of an
  * instance in the test process. The test acts as the callers and endpoints at the other ends of
@@ -96,11 +96,11 @@
   usleep (200);
 }
 
-/* Runs the event loop until the condition holds; fails the test after FIXTURE_TIMEOUT. */
+/* Runs the event loop until the condition holds; fails the test after FIXTURE_WAIT_TIMEOUT. */
 #define FIXTURE_WAIT_UNTIL(f, condition)                                                           \
   do                                                                                               \
     {                                                                                              \
-      LbTime deadline_ = lb_clock_monotonic () + FIXTURE_TIMEOUT;                                  \
+      LbTime deadline_ = lb_clock_monotonic () + FIXTURE_WAIT_TIMEOUT;                             \
       bool is_met_ = false;                                                                        \
       while (!(is_met_ = (condition)) && lb_clock_monotonic () < deadline_)                        \
         fixture_run_loop_once (f);                                                                 \
--- a/packages/node/tests/steps-fixture.h
+++ b/packages/node/tests/steps-fixture.h
@@ -247,7 +247,7 @@
     = { .name = "calls", .receive = fake_calls_receive, .free = fake_calls_free };
 
 static inline void
-cluster_send_members (Cluster *cluster)
+cluster_send_member_lists (Cluster *cluster)
 {
   for (size_t to = 0; to < 2; to++)
     {
@@ -272,7 +272,7 @@
 }
 
 static inline void
-instance_send_config (Cluster *cluster, Instance *instance)
+cluster_send_config_to_instance (Cluster *cluster, Instance *instance)
 {
   LcPool pool = { .name = "reader" };
   LcSubscription subscription
@@ -312,7 +312,7 @@
   ln_hub_add_task (context->hub, instance->front);
   ln_hub_add_task (context->hub, &instance->calls.task);
   ln_hub_add_task (context->hub, instance->rollouts);
-  instance_send_config (cluster, instance);
+  cluster_send_config_to_instance (cluster, instance);
 }
 
 static inline Cluster *
@@ -331,7 +331,7 @@
   cluster->cursor = lb_strdup ("");
   instance_init (cluster, &cluster->instances[0], "i1");
   instance_init (cluster, &cluster->instances[1], "i2");
-  cluster_send_members (cluster);
+  cluster_send_member_lists (cluster);
   return cluster;
 }
 
--- a/packages/node/tests/test-crashes.c
+++ b/packages/node/tests/test-crashes.c
@@ -59,11 +59,11 @@
 }
 
 static void
-fake_transact (LpPlatform *platform,
-               const LpTransaction *transaction,
-               LpPriority priority,
-               LpTransactDone done,
-               void *user)
+fake_store_transact (LpPlatform *platform,
+                     const LpTransaction *transaction,
+                     LpPriority priority,
+                     LpTransactDone done,
+                     void *user)
 {
   (void)priority;
   Store *store = get_store (platform);
@@ -75,12 +75,12 @@
 }
 
 static void
-fake_list (LpPlatform *platform,
-           const char *prefix,
-           const char *from,
-           int64_t limit,
-           LpListDone done,
-           void *user)
+fake_store_list (LpPlatform *platform,
+                 const char *prefix,
+                 const char *from,
+                 int64_t limit,
+                 LpListDone done,
+                 void *user)
 {
   (void)prefix;
   (void)from;
@@ -94,12 +94,12 @@
 }
 
 static void
-fake_watch (LpPlatform *platform,
-            const char *table,
-            int64_t after,
-            LbTime wait,
-            LpWatchDone done,
-            void *user)
+fake_store_watch (LpPlatform *platform,
+                  const char *table,
+                  int64_t after,
+                  LbTime wait,
+                  LpWatchDone done,
+                  void *user)
 {
   (void)wait;
   Store *store = get_store (platform);
@@ -123,9 +123,9 @@
 }
 
 static const LpPlatformClass store_class = { .name = "followed",
-                                             .transact = fake_transact,
-                                             .list = fake_list,
-                                             .watch = fake_watch,
+                                             .transact = fake_store_transact,
+                                             .list = fake_store_list,
+                                             .watch = fake_store_watch,
                                              .store_clock_ms = fake_store_clock_ms };
 
 /* Replaces the task "peers", which sends frames to other instances: counts the frames and keeps
--- a/packages/node/tests/test-front.c
+++ b/packages/node/tests/test-front.c
@@ -27,7 +27,7 @@
   caller_connect (&f, &caller);
   peer_send (&caller,
              "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 1000000\r\n\r\n");
-  LbTime end = lb_clock_monotonic () + FIXTURE_TIMEOUT;
+  LbTime end = lb_clock_monotonic () + FIXTURE_WAIT_TIMEOUT;
   while (!peer_has_received (&caller, "too_slow") && lb_clock_monotonic () < end)
     {
       send (caller.fd, "a", 1, 0);
@@ -52,7 +52,7 @@
   fixture_start_tasks (&f);
   caller_connect (&f, &caller);
   peer_send (&caller, "GET /healthz HTTP/1.1\r\nHost: h\r\nx-long: ");
-  LbTime end = lb_clock_monotonic () + FIXTURE_TIMEOUT;
+  LbTime end = lb_clock_monotonic () + FIXTURE_WAIT_TIMEOUT;
   while (!peer_has_received (&caller, "too_slow") && lb_clock_monotonic () < end)
     {
       send (caller.fd, "a", 1, 0);
--- a/packages/node/tests/test-steps.c
+++ b/packages/node/tests/test-steps.c
@@ -70,7 +70,7 @@
   cluster_open_step (cluster, 0);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
   cluster->instances[0].alive = false;
-  cluster_send_members (cluster);
+  cluster_send_member_lists (cluster);
   cr_assert_eq (cluster_pull_samples (cluster, 1, 4), 2);
   cluster_expect_each_sample_once (cluster);
   cluster_send_step_call (cluster, 1, "steps/1", NULL);
@@ -90,10 +90,10 @@
   cluster_open_step (cluster, 0);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 1), 1);
   cluster->instances[0].alive = false;
-  cluster_send_members (cluster);
+  cluster_send_member_lists (cluster);
   cr_assert_eq (cluster_pull_samples (cluster, 1, 1), 1);
   cluster->instances[0].alive = true;
-  cluster_send_members (cluster);
+  cluster_send_member_lists (cluster);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 4), 2);
   cluster_expect_each_sample_once (cluster);
   cluster_free (cluster);
@@ -109,10 +109,10 @@
   cluster_open_step (cluster, 0);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 1), 1);
   cluster->instances[0].alive = false;
-  cluster_send_members (cluster);
+  cluster_send_member_lists (cluster);
   cr_assert_eq (cluster_pull_samples (cluster, 1, 1), 1);
   cluster->instances[0].alive = true;
-  cluster_send_members (cluster);
+  cluster_send_member_lists (cluster);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 4), 2);
   cluster_expect_each_sample_once (cluster);
   cluster_free (cluster);
@@ -159,7 +159,7 @@
 
 /* Two instances receive the request to open the same step at the same time, as from a trainer that
  * timed out and retried. One instance becomes the owner, and both accept calls for the step. */
-Test (steps, concurrent_opens_have_one_owner)
+Test (steps, concurrent_opens_of_a_step_have_one_owner)
 {
   Cluster *cluster = cluster_new (false);
 
@@ -266,7 +266,7 @@
   for (int i = 0; i < 10; i++)
     cluster_run_event_loop_once (cluster);
   first->draining = true;
-  cluster_send_members (cluster);
+  cluster_send_member_lists (cluster);
   ln_hub_drain (first->context.hub);
   cluster_send_pull (cluster, 0, 4, 5000);
   /* Waits for several ticks of the drain, none of which may release the step while samples are
@@ -292,7 +292,7 @@
   Cluster *cluster = cluster_new (false);
 
   cluster->instances[0].draining = true;
-  cluster_send_members (cluster);
+  cluster_send_member_lists (cluster);
   ln_hub_drain (cluster->instances[0].context.hub);
   cluster_open_step (cluster, 0);
   cr_assert_eq (cluster->status, 202, "expected status 202, got the reply: %s", cluster->reply);
