--- a/tests/process/test-endpoints.c
+++ b/tests/process/test-endpoints.c
@@ -107,7 +107,7 @@
 }
 
 /* Asserts that no call that the load generator counts as not run was started at either engine.
- * `second` may be NULL. */
+ * `second` is NULL if there is only one engine. */
 static void
 assert_not_run_calls_never_started (PtCluster *cluster,
                                     struct json_object *summary,
--- a/tests/process/test-relay.c
+++ b/tests/process/test-relay.c
@@ -70,7 +70,7 @@
 }
 
 /* A cleared relay releases its port. */
-Test (relay, port_is_free_after_clear)
+Test (relay, port_is_free_after_the_relay_is_cleared)
 {
   struct event_base *base = event_base_new ();
   PtRelay relay;
--- a/tests/soak/sk-faults.c
+++ b/tests/soak/sk-faults.c
@@ -11,7 +11,7 @@
 #define MAX_FAULT_INTERVAL_MS 900
 /* time between two events of a slow stream, five times the normal interval */
 #define SLOW_EVENT_INTERVAL (125 * LB_MSEC)
-#define MIN_ENGINES 2
+#define MIN_AVAILABLE_ENGINES 2
 #define MAX_ADDED_ROUTES 60
 
 static SkInstance *
@@ -41,14 +41,14 @@
 }
 
 /* Chooses a random endpoint. Returns NULL if it is not an engine, is down or draining, or if fewer
- * than MIN_ENGINES other engines would be available. */
+ * than MIN_AVAILABLE_ENGINES other engines would be available. */
 static SkEndpoint *
 choose_random_spare_engine (SkWorld *world)
 {
   SkEndpoint *endpoint = choose_random_running_endpoint (world);
 
   return endpoint && endpoint->standin.model[0] && endpoint->draining_since == 0
-                 && count_available_engines (world) > MIN_ENGINES
+                 && count_available_engines (world) > MIN_AVAILABLE_ENGINES
              ? endpoint
              : NULL;
 }
--- a/tests/soak/sk-trainer.c
+++ b/tests/soak/sk-trainer.c
@@ -11,8 +11,8 @@
 #include <xxhash.h>
 
 #define N_BATCH_ITEMS 24
-#define RETRY_DELAY (120 * LB_MSEC)
-#define READ_INTERVAL (150 * LB_MSEC)
+#define CALL_RETRY_DELAY (120 * LB_MSEC)
+#define RESULTS_READ_INTERVAL (150 * LB_MSEC)
 #define WEIGHT_VERSION_LIMIT 1000 /* all weight versions must be below this value */
 /* A step that is incomplete after this time counts as lost, since all faults end within seconds. */
 #define STEP_TIMEOUT (40 * LB_SEC)
@@ -334,7 +334,8 @@
   LbTime now = lb_clock_monotonic ();
 
   trainer->fetch = NULL;
-  trainer->next_call_at = now + (trainer->state == TRAINER_READING ? READ_INTERVAL : RETRY_DELAY);
+  trainer->next_call_at
+      = now + (trainer->state == TRAINER_READING ? RESULTS_READ_INTERVAL : CALL_RETRY_DELAY);
   switch (trainer->state)
     {
     case TRAINER_SUBMITTING:
