--- a/tests/process/pt-resources.c
+++ b/tests/process/pt-resources.c
@@ -71,7 +71,8 @@
   pt_apply_change (cluster, pending->instance, pending->changes, "*", &response);
   bool accepted = si_response_is_ok (&response);
   PT_ASSERT_MSG (accepted || response.status == 503 || response.failure != LB_OK,
-                 "unexpected status %d: %s", response.status, response.body);
+                 "expected a success, status 503 or no response, got status %d: %s",
+                 response.status, response.body);
   si_response_clear (&response);
   return accepted;
 }
--- a/tests/process/test-relay.c
+++ b/tests/process/test-relay.c
@@ -46,7 +46,7 @@
   return error;
 }
 
-/* A relay that refuses connections for some seconds gave up its port meanwhile. When another
+/* Guards against a relay that gives up its port while it refuses connections: when another
  * program bound the port, the relay could not listen again, and the test was aborted. */
 Test (relay, port_stays_reserved_while_connections_are_refused)
 {
@@ -70,7 +70,7 @@
 }
 
 /* A cleared relay releases its port. */
-Test (relay, port_is_free_after_clear)
+Test (relay, port_is_free_after_the_relay_is_cleared)
 {
   struct event_base *base = event_base_new ();
   PtRelay relay;
