--- a/packages/cli/src/lt-cost.c
+++ b/packages/cli/src/lt-cost.c
@@ -131,7 +131,8 @@
     {
       LcLoadReport load;
       make_load_report (i, now, &load);
-      lc_endpoints_record_load (endpoints, lc_endpoints_at (endpoints, i)->member.name, &load, now);
+      lc_endpoints_record_load_report (endpoints, lc_endpoints_at (endpoints, i)->member.name,
+                                       &load, now);
     }
   double memory = (get_allocated_heap_bytes () - before) / (double)n_endpoints;
   LbTime started_at = lb_clock_monotonic ();
@@ -140,7 +141,7 @@
       const uint64_t hashes[] = { i % 40 + 1, i % 40 + 1001, i % 40 + 2001, i + 100000 };
       query.prefix_hashes = hashes;
       now += 500;
-      LcRouteDecision decision = lc_router_choose (router, endpoints, &query, now);
+      LcRouteDecision decision = lc_router_choose_endpoint (router, endpoints, &query, now);
       if (!decision.endpoint)
         continue;
       lc_endpoint_request_sent (decision.endpoint, LC_KIND_LIVE, hashes[2], now);
@@ -172,8 +173,8 @@
       LcLoadReport load;
       now += 100;
       make_load_report (i % n_endpoints, now, &load);
-      lc_dispatch_record_load (dispatch, set->endpoints[i % n_endpoints].name, &load, now,
-                               &actions);
+      lc_dispatch_record_load_report (dispatch, set->endpoints[i % n_endpoints].name, &load, now,
+                                      &actions);
     }
   add_measurement (measurements, "load-report", n_endpoints,
                    get_microseconds_per_operation (started_at, OPERATIONS_PER_MEASUREMENT), 0);
@@ -209,7 +210,7 @@
       snprintf (spec.caller, LB_NAME_MAX, "caller-%" PRIu64, i % 50);
       lc_dispatch_submit (dispatch, &spec, LB_SEC + (LbTime)i, &actions, &retry_after, &error);
     }
-  size_t waiting = lc_dispatch_count_waiting (dispatch, LC_KIND_LIVE);
+  size_t waiting = lc_dispatch_count_waiting_requests (dispatch, LC_KIND_LIVE);
   if (waiting > 0)
     add_measurement (measurements, "waiting-request", waiting,
                      get_microseconds_per_operation (started_at, N_WAITING_REQUESTS),
@@ -388,8 +389,8 @@
       make_load_report (i, step->now, &load);
       load.running = 0;
       load.waiting = 0;
-      lc_dispatch_record_load (step->dispatch, set->endpoints[i].name, &load, step->now,
-                               &step->actions);
+      lc_dispatch_record_load_report (step->dispatch, set->endpoints[i].name, &load, step->now,
+                                      &step->actions);
     }
 }
 
--- a/packages/core/bench/bench-decision.c
+++ b/packages/core/bench/bench-decision.c
@@ -24,8 +24,8 @@
                               .tokens_per_second = 30,
                               .measured_at = now };
 
-      lc_endpoints_record_load (endpoints, lc_endpoints_at (endpoints, i)->member.name, &report,
-                                now);
+      lc_endpoints_record_load_report (endpoints, lc_endpoints_at (endpoints, i)->member.name,
+                                       &report, now);
     }
 }
 
@@ -63,7 +63,7 @@
         hashes[j] = bench_hash_pair ((uint64_t)(i % 100), (uint64_t)j);
 
       LbTime before = lb_clock_monotonic ();
-      LcRouteDecision decision = lc_router_choose (router, endpoints, &query, now);
+      LcRouteDecision decision = lc_router_choose_endpoint (router, endpoints, &query, now);
 
       duration += lb_clock_monotonic () - before;
       lc_endpoint_request_sent (decision.endpoint, LC_KIND_LIVE, hashes[N_PREFIX_HASHES - 1], now);
--- a/packages/core/bench/bench-dispatch.c
+++ b/packages/core/bench/bench-dispatch.c
@@ -70,8 +70,8 @@
     {
       LcLoadReport report = { .version = 1, .measured_at = bench->now };
 
-      lc_dispatch_record_load (bench->dispatch, bench->members[i].name, &report, bench->now,
-                               &bench->actions);
+      lc_dispatch_record_load_report (bench->dispatch, bench->members[i].name, &report, bench->now,
+                                      &bench->actions);
     }
 }
 
@@ -141,7 +141,7 @@
 static double
 measure_queue_expiry (Bench *bench)
 {
-  size_t n_waiting = lc_dispatch_count_waiting (bench->dispatch, LC_KIND_LIVE);
+  size_t n_waiting = lc_dispatch_count_waiting_requests (bench->dispatch, LC_KIND_LIVE);
   LbTime started_at = lb_clock_monotonic ();
 
   bench->now += 200 * LB_SEC;
@@ -170,7 +170,8 @@
 
   double cost = micros_per_item_since (started_at, N_REQUESTS);
 
-  exit_unless (lc_dispatch_count_in_progress (bench.dispatch) == 0, "calls were not answered");
+  exit_unless (lc_dispatch_count_requests_in_progress (bench.dispatch) == 0,
+               "calls were not answered");
   dispatch_bench_clear (&bench);
   return cost;
 }
@@ -235,7 +236,7 @@
       free_pending_actions (&bench);
     }
   cost.dequeue = micros_per_item_since (started_at, n_waiting / 2);
-  exit_unless (lc_dispatch_count_waiting (bench.dispatch, LC_KIND_LIVE)
+  exit_unless (lc_dispatch_count_waiting_requests (bench.dispatch, LC_KIND_LIVE)
                    == n_waiting - n_waiting / 2,
                "calls were not dequeued");
   cost.expire = measure_queue_expiry (&bench);
--- a/packages/core/bench/bench-roster.c
+++ b/packages/core/bench/bench-roster.c
@@ -38,7 +38,7 @@
     {
       LbTime at = round * 400 * LB_MSEC;
       lc_roster_apply_list (roster, list, n_engines, at, at);
-      for (size_t i = 0; i < lc_roster_count (roster); i++)
+      for (size_t i = 0; i < lc_roster_count_endpoints (roster); i++)
         sum += lc_roster_latest_weight_version (roster, i);
     }
   return sum;
--- a/packages/core/bench/bench-routing.c
+++ b/packages/core/bench/bench-routing.c
@@ -131,7 +131,7 @@
                          .live_reserve = LIVE_RESERVE_SHARE };
   LbTime before = lb_clock_monotonic ();
   LcRouteDecision decision
-      = lc_router_choose (instance->router, instance->endpoints, &query, simulation->now);
+      = lc_router_choose_endpoint (instance->router, instance->endpoints, &query, simulation->now);
 
   simulation->decision_time += lb_clock_monotonic () - before;
   simulation->n_decisions++;
@@ -292,7 +292,7 @@
       return;
     snprintf (name, sizeof name, "engine-%d", delivery->endpoint);
     if (delivery->is_report)
-      lc_endpoints_record_load (endpoints, name, &delivery->report, simulation->now);
+      lc_endpoints_record_load_report (endpoints, name, &delivery->report, simulation->now);
     else
       lc_endpoints_apply_cache_event (endpoints, name, delivery->event.sequence,
                                       delivery->event.stored, delivery->event.prefix,
--- a/packages/core/include/lc-catalog.h
+++ b/packages/core/include/lc-catalog.h
@@ -40,7 +40,7 @@
 /* Functions that write this instance's listings to the shared table. */
 /* Sets the time between two listings by this instance while it publishes. The time is written to
  * the publisher's row. */
-void lc_catalog_set_own_period (LcCatalog *catalog, LbTime period);
+void lc_catalog_set_listing_period (LcCatalog *catalog, LbTime period);
 /* Sets this instance's position in the order of takeover, not counting the current publisher. 0: it
  * takes over first; negative: it must not publish. */
 void lc_catalog_set_takeover_rank (LcCatalog *catalog, int rank);
@@ -85,14 +85,14 @@
 
 /* Functions that only read an LcCatalog. */
 /* Whether the snapshot is recent enough to use. */
-bool lc_catalog_is_fresh (const LcCatalog *catalog, LbTime now);
+bool lc_catalog_is_snapshot_fresh (const LcCatalog *catalog, LbTime now);
 /* Whether this instance must list the rows itself: it publishes, is about to take over, or sees no
  * publisher. */
 bool lc_catalog_needs_listing (const LcCatalog *catalog, LbTime now);
 /* Whether this instance is the publisher according to the publisher's row. */
 bool lc_catalog_is_publisher (const LcCatalog *catalog);
 /* Time between two listings by the publisher, as stated in the publisher's row. */
-LbTime lc_catalog_publish_period (const LcCatalog *catalog);
+LbTime lc_catalog_publisher_listing_period (const LcCatalog *catalog);
 /* Name of the instance that published last; "" when none has. */
 const char *lc_catalog_publisher_name (const LcCatalog *catalog);
 /* Local time at which the store held the rows of the snapshot. */
@@ -102,7 +102,7 @@
 /* Value of this key in the table; NULL when there is none. */
 const char *lc_catalog_find_value (const LcCatalog *catalog, const char *key);
 /* Calls visit for each row whose key starts with the prefix; name is the rest of the key. */
-void lc_catalog_foreach (
+void lc_catalog_foreach_row (
     const LcCatalog *catalog,
     const char *prefix,
     void (*visit) (const char *name, const char *value, int64_t version, void *user),
--- a/packages/core/include/lc-dispatch.h
+++ b/packages/core/include/lc-dispatch.h
@@ -149,17 +149,17 @@
                                      LcAttemptEnd end,
                                      LbTime now,
                                      LbList *actions);
-void lc_dispatch_record_load (LcDispatch *dispatch,
-                              const char *endpoint,
-                              const LcLoadReport *report,
-                              LbTime now,
-                              LbList *actions);
-void lc_dispatch_mark_leaving (LcDispatch *dispatch,
-                               const char *endpoint,
-                               const char *incarnation,
-                               LcLeavingSource source,
-                               LbTime now,
-                               LbList *actions);
+void lc_dispatch_record_load_report (LcDispatch *dispatch,
+                                     const char *endpoint,
+                                     const LcLoadReport *report,
+                                     LbTime now,
+                                     LbList *actions);
+void lc_dispatch_mark_endpoint_leaving (LcDispatch *dispatch,
+                                        const char *endpoint,
+                                        const char *incarnation,
+                                        LcLeavingSource source,
+                                        LbTime now,
+                                        LbList *actions);
 /* Makes lc_dispatch_submit refuse all further requests as "not run"; admitted requests continue. */
 void lc_dispatch_drain (LcDispatch *dispatch, LbTime now, LbList *actions);
 void lc_dispatch_tick (LcDispatch *dispatch, LbTime now, LbList *actions);
@@ -169,8 +169,8 @@
 /* Whether the current configuration contains the plain service. */
 bool lc_dispatch_has_service (const LcDispatch *dispatch, const char *service);
 LbTime lc_dispatch_next_tick (const LcDispatch *dispatch);
-size_t lc_dispatch_count_in_progress (const LcDispatch *dispatch);
-size_t lc_dispatch_count_waiting (const LcDispatch *dispatch, LcRequestKind kind);
+size_t lc_dispatch_count_requests_in_progress (const LcDispatch *dispatch);
+size_t lc_dispatch_count_waiting_requests (const LcDispatch *dispatch, LcRequestKind kind);
 LcEndpoints *lc_dispatch_get_endpoints (LcDispatch *dispatch);
 LcQuarantine *lc_dispatch_get_quarantine (LcDispatch *dispatch);
 /* Number of actions suppressed because they would have violated an invariant; 0 in a correct
--- a/packages/core/include/lc-endpoints.h
+++ b/packages/core/include/lc-endpoints.h
@@ -66,10 +66,10 @@
 /* Functions that change an LcEndpoints table. */
 void lc_endpoints_configure (LcEndpoints *endpoints, const LcResourceSet *set, LbTime now);
 /* A report with a new incarnation clears the leaving mark, the breaker and the cached prefixes. */
-void lc_endpoints_record_load (LcEndpoints *endpoints,
-                               const char *name,
-                               const LcLoadReport *report,
-                               LbTime now);
+void lc_endpoints_record_load_report (LcEndpoints *endpoints,
+                                      const char *name,
+                                      const LcLoadReport *report,
+                                      LbTime now);
 /* Marks an incarnation of the endpoint as leaving; "": the current incarnation. Returns true if the
  * endpoint was not leaving before and is leaving now. */
 bool lc_endpoints_mark_leaving (LcEndpoints *endpoints,
@@ -79,8 +79,9 @@
                                 LbTime now);
 /* Called when the platform's list no longer marks the endpoint as leaving. Clears only a mark of
  * the list that may have been meant for an earlier incarnation. */
-void lc_endpoints_clear_platform_leaving (LcEndpoints *endpoints, const char *name, LbTime now);
-void lc_endpoints_set_weight_swap (
+void
+lc_endpoints_clear_platform_leaving_mark (LcEndpoints *endpoints, const char *name, LbTime now);
+void lc_endpoints_set_weight_swap_state (
     LcEndpoints *endpoints, const char *name, bool pending, LbTime until, LbTime now);
 void lc_endpoints_apply_cache_event (LcEndpoints *endpoints,
                                      const char *name,
--- a/packages/core/include/lc-membership.h
+++ b/packages/core/include/lc-membership.h
@@ -137,9 +137,10 @@
  * instance is not known. */
 bool lc_membership_keep_connected (
     LcMembership *membership, const char *name, LbTime until, LbTime now, LbList *actions);
-void lc_membership_set_draining (LcMembership *membership, LbTime now, LbList *actions);
+void lc_membership_mark_self_draining (LcMembership *membership, LbTime now, LbList *actions);
 /* load: processor use per mille; published in steps and at a limited rate. */
-void lc_membership_set_load (LcMembership *membership, int64_t load, LbTime now, LbList *actions);
+void
+lc_membership_set_self_load (LcMembership *membership, int64_t load, LbTime now, LbList *actions);
 void lc_membership_tick (LcMembership *membership, LbTime now, LbList *actions);
 void lc_membership_action_free (LcMembershipAction *action);
 
--- a/packages/core/include/lc-roster.h
+++ b/packages/core/include/lc-roster.h
@@ -45,7 +45,7 @@
     LcRoster *roster, const LcRegistration *list, size_t n_list, LbTime asked_at, LbTime now);
 /* Records that the store's list, requested at asked_at, is unchanged. Returns true if the resource
  * set changed, which happens if the grace period after a store outage has ended. */
-bool lc_roster_confirm_list (LcRoster *roster, LbTime asked_at, LbTime now);
+bool lc_roster_record_unchanged_list (LcRoster *roster, LbTime asked_at, LbTime now);
 /* Sets the planning instance's assignment of engines to models. Engines that the plan does not name
  * are divided evenly among the models. Returns true if the resource set changed. */
 bool lc_roster_set_engine_plan (LcRoster *roster, const LcEnginePlan *plan);
@@ -53,7 +53,7 @@
 /* Functions that only read an LcRoster. */
 /* Time between two requests for the list of endpoints. */
 LbTime lc_roster_list_period (const LcRoster *roster);
-size_t lc_roster_count (const LcRoster *roster);
+size_t lc_roster_count_endpoints (const LcRoster *roster);
 const LcRegistration *lc_roster_registration (const LcRoster *roster, size_t index);
 /* Name of the model that the engine is used for; "": a plain service. */
 const char *lc_roster_assigned_model (const LcRoster *roster, size_t index);
--- a/packages/core/include/lc-router.h
+++ b/packages/core/include/lc-router.h
@@ -64,8 +64,10 @@
 /* Returns NULL if no policy has this name. */
 LcRouter *lc_router_new (const char *policy, uint64_t seed);
 void lc_router_free (LcRouter *router);
-LcRouteDecision
-lc_router_choose (LcRouter *router, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now);
+LcRouteDecision lc_router_choose_endpoint (LcRouter *router,
+                                           LcEndpoints *endpoints,
+                                           const LcRouteQuery *query,
+                                           LbTime now);
 /* Names of all policies, terminated by NULL. */
 const char *const *lc_router_policy_names (void);
 
--- a/packages/core/include/lc-scaling.h
+++ b/packages/core/include/lc-scaling.h
@@ -28,8 +28,8 @@
   int64_t endpoints; /* total number of spot endpoints wanted in the data centre */
 } LcScalingOrder;
 
-/* Fills in the next order to send; false: no order is due. Call lc_scaling_finish_order with the
- * outcome of the order. */
+/* Fills in the next order to send; false: no order is due. Call lc_scaling_record_order_outcome
+ * with the outcome of the order. */
 bool lc_scaling_next_order (LcScaling *scaling,
                             const LcDesired *desired,
                             const LcResourceSet *set,
@@ -45,9 +45,9 @@
   LC_SCALING_REFUSED /* the data centre has no capacity now */
 } LcScalingOutcome;
 
-void lc_scaling_finish_order (LcScaling *scaling,
-                              const LcScalingOrder *order,
-                              LcScalingOutcome outcome,
-                              LbTime now);
+void lc_scaling_record_order_outcome (LcScaling *scaling,
+                                      const LcScalingOrder *order,
+                                      LcScalingOutcome outcome,
+                                      LbTime now);
 
 #endif
--- a/packages/core/include/lc-subset.h
+++ b/packages/core/include/lc-subset.h
@@ -41,8 +41,8 @@
 /* Functions that configure the choice of the subset. */
 /* Clears the set of expected services. Pages are read until the subset has enough endpoints of each
  * expected service. */
-void lc_subset_clear_expected_services (LcSubset *subset);
-void lc_subset_expect_service (LcSubset *subset, const char *service);
+void lc_subset_clear_required_services (LcSubset *subset);
+void lc_subset_add_required_service (LcSubset *subset, const char *service);
 /* Sets the last key of the service's subset, as chosen by the instance that publishes the bounds;
  * "": the subset contains all endpoints of the service. */
 void lc_subset_set_bound (LcSubset *subset, const char *service, const char *bound);
@@ -51,7 +51,7 @@
 
 /* Enlarges the subset of a service whose endpoints are nearly full, at most once every few
  * seconds. */
-void lc_subset_grow (LcSubset *subset, const char *service, LbTime now);
+void lc_subset_grow_for_service (LcSubset *subset, const char *service, LbTime now);
 
 /* Functions that only read an LcSubset. */
 /* Number of rows to request per page: as many as the previous list needed. */
--- a/packages/core/src/dispatch/lc-dispatch-private.h
+++ b/packages/core/src/dispatch/lc-dispatch-private.h
@@ -44,7 +44,7 @@
 /* Returns the end of the quarantine of requests with this content, on which endpoints have crashed;
  * 0 if the content is not in quarantine. */
 LbTime
-lc_dispatch_quarantined_until (const LcDispatch *dispatch, LcFingerprint content, LbTime now);
+lc_dispatch_find_quarantine_end (const LcDispatch *dispatch, LcFingerprint content, LbTime now);
 
 /* Implemented in lc-timers.c. */
 void lc_dispatch_reschedule_request_timer (LcDispatch *dispatch, LcRequest *request);
@@ -57,21 +57,22 @@
                                     LbTime start_deadline,
                                     LbTime now);
 void lc_dispatch_enqueue (LcDispatch *dispatch, LcRequest *request);
-bool lc_dispatch_may_be_placed (const LcRequest *request);
+bool lc_dispatch_should_try_placement (const LcRequest *request);
 void lc_dispatch_send_waiting_requests (LcDispatch *dispatch,
                                         LcPoolState *pool,
                                         LbTime now,
                                         LbList *actions);
-void lc_dispatch_send_waiting_of_all_pools (LcDispatch *dispatch, LbTime now, LbList *actions);
+void
+lc_dispatch_send_waiting_requests_of_all_pools (LcDispatch *dispatch, LbTime now, LbList *actions);
 void lc_dispatch_try_hedge (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions);
 
 /* Implemented in lc-outcome.c, which ends attempts and requests. */
-void lc_dispatch_handle_attempt_end (LcDispatch *dispatch,
-                                     LcRequest *request,
-                                     LcAttempt *attempt,
-                                     LcAttemptEnd end,
-                                     LbTime now,
-                                     LbList *actions);
+void lc_dispatch_end_attempt (LcDispatch *dispatch,
+                              LcRequest *request,
+                              LcAttempt *attempt,
+                              LcAttemptEnd end,
+                              LbTime now,
+                              LbList *actions);
 void lc_dispatch_cancel_attempt (
     LcDispatch *dispatch, LcRequest *request, LcAttempt *attempt, LbTime now, LbList *actions);
 void
--- a/packages/core/src/dispatch/lc-dispatch-query.c
+++ b/packages/core/src/dispatch/lc-dispatch-query.c
@@ -35,13 +35,13 @@
 
 /* Returns the number of admitted requests without a final result. */
 size_t
-lc_dispatch_count_in_progress (const LcDispatch *dispatch)
+lc_dispatch_count_requests_in_progress (const LcDispatch *dispatch)
 {
   return HASH_COUNT (dispatch->requests);
 }
 
 size_t
-lc_dispatch_count_waiting (const LcDispatch *dispatch, LcRequestKind kind)
+lc_dispatch_count_waiting_requests (const LcDispatch *dispatch, LcRequestKind kind)
 {
   size_t waiting = 0;
 
@@ -52,7 +52,7 @@
 }
 
 LbTime
-lc_dispatch_quarantined_until (const LcDispatch *dispatch, LcFingerprint content, LbTime now)
+lc_dispatch_find_quarantine_end (const LcDispatch *dispatch, LcFingerprint content, LbTime now)
 {
   LbTime until = lc_quarantine_ends_at (dispatch->quarantine, content);
 
--- a/packages/core/src/dispatch/lc-dispatch.c
+++ b/packages/core/src/dispatch/lc-dispatch.c
@@ -163,7 +163,7 @@
   dispatch->forbid_cancel = true;
   lc_endpoints_configure (dispatch->endpoints, set, now);
   configure_pools (dispatch, set);
-  lc_dispatch_send_waiting_of_all_pools (dispatch, now, actions);
+  lc_dispatch_send_waiting_requests_of_all_pools (dispatch, now, actions);
   free_unused_pools (dispatch);
   dispatch->forbid_cancel = false;
 }
@@ -228,7 +228,7 @@
     return LB_ERROR_NO_ENDPOINT;
   if (latest != LB_TIME_NEVER && lc_pool_state_estimate_wait (pool, key) >= latest - now)
     return LB_ERROR_OVERLOADED;
-  if (lc_pool_state_is_full (pool)
+  if (lc_pool_state_is_queue_full (pool)
       && !drop_lower_ranked_request (dispatch, pool, key, now, actions))
     return LB_ERROR_OVERLOADED;
   return LB_OK;
@@ -274,7 +274,7 @@
                            0, retry_after, spec->pool, error);
   /* Endpoints have crashed on requests with this content, sent by any instance; the next endpoint
    * would crash, too. */
-  LbTime quarantined_until = lc_dispatch_quarantined_until (dispatch, spec->content, now);
+  LbTime quarantined_until = lc_dispatch_find_quarantine_end (dispatch, spec->content, now);
   if (quarantined_until > 0)
     return refuse_request (LB_ERROR_QUARANTINED, quarantined_until - now, retry_after, spec->pool,
                            error);
@@ -298,7 +298,7 @@
   LcRequest *request = add_request (dispatch, spec, pool, now);
 
   lc_dispatch_enqueue (dispatch, request);
-  if (lc_dispatch_may_be_placed (request))
+  if (lc_dispatch_should_try_placement (request))
     lc_dispatch_send_waiting_requests (dispatch, pool, now, actions);
   return true;
 }
@@ -334,8 +334,9 @@
   LcPoolState *pool = request->pool;
 
   if (end == LC_END_REFUSED_LEAVING)
-    lc_dispatch_mark_leaving (dispatch, attempt->endpoint, "", LC_LEAVING_ENDPOINT, now, actions);
-  lc_dispatch_handle_attempt_end (dispatch, request, attempt, end, now, actions);
+    lc_dispatch_mark_endpoint_leaving (dispatch, attempt->endpoint, "", LC_LEAVING_ENDPOINT, now,
+                                       actions);
+  lc_dispatch_end_attempt (dispatch, request, attempt, end, now, actions);
   lc_dispatch_send_waiting_requests (dispatch, pool, now, actions);
 }
 
@@ -350,15 +351,15 @@
 }
 
 void
-lc_dispatch_record_load (LcDispatch *dispatch,
-                         const char *endpoint,
-                         const LcLoadReport *report,
-                         LbTime now,
-                         LbList *actions)
+lc_dispatch_record_load_report (LcDispatch *dispatch,
+                                const char *endpoint,
+                                const LcLoadReport *report,
+                                LbTime now,
+                                LbList *actions)
 {
   LcPoolState *pool = find_pool_of_endpoint (dispatch, endpoint);
 
-  lc_endpoints_record_load (dispatch->endpoints, endpoint, report, now);
+  lc_endpoints_record_load_report (dispatch->endpoints, endpoint, report, now);
   if (!pool)
     return;
   dispatch->forbid_cancel = true;
@@ -367,12 +368,12 @@
 }
 
 void
-lc_dispatch_mark_leaving (LcDispatch *dispatch,
-                          const char *endpoint,
-                          const char *incarnation,
-                          LcLeavingSource source,
-                          LbTime now,
-                          LbList *actions)
+lc_dispatch_mark_endpoint_leaving (LcDispatch *dispatch,
+                                   const char *endpoint,
+                                   const char *incarnation,
+                                   LcLeavingSource source,
+                                   LbTime now,
+                                   LbList *actions)
 {
   LcPoolState *pool = find_pool_of_endpoint (dispatch, endpoint);
 
@@ -419,5 +420,5 @@
 
   while ((request = lc_dispatch_find_due_request (dispatch, now)))
     fail_requeue_or_hedge_due_request (dispatch, request, now, actions);
-  lc_dispatch_send_waiting_of_all_pools (dispatch, now, actions);
+  lc_dispatch_send_waiting_requests_of_all_pools (dispatch, now, actions);
 }
--- a/packages/core/src/dispatch/lc-heap.c
+++ b/packages/core/src/dispatch/lc-heap.c
@@ -73,7 +73,7 @@
 }
 
 void
-lc_heap_update (LcHeap *heap, LcHeapNode *node)
+lc_heap_reposition_node (LcHeap *heap, LcHeapNode *node)
 {
   sift_up (heap, node);
   sift_down (heap, node);
@@ -94,7 +94,7 @@
   if (last == node)
     return;
   set_node_at_position (heap, position, last);
-  lc_heap_update (heap, last);
+  lc_heap_reposition_node (heap, last);
 }
 
 LcHeapNode *
--- a/packages/core/src/dispatch/lc-heap.h
+++ b/packages/core/src/dispatch/lc-heap.h
@@ -29,12 +29,12 @@
 /* Has no effect if the node is in no heap. */
 void lc_heap_remove (LcHeap *heap, LcHeapNode *node);
 /* Restores the heap order after the key of the node's element has changed. */
-void lc_heap_update (LcHeap *heap, LcHeapNode *node);
+void lc_heap_reposition_node (LcHeap *heap, LcHeapNode *node);
 /* Returns the first node of the heap's order; NULL if the heap is empty. */
 LcHeapNode *lc_heap_top (const LcHeap *heap);
 
 static inline bool
-lc_heap_node_is_linked (const LcHeapNode *node)
+lc_heap_node_is_in_heap (const LcHeapNode *node)
 {
   return node->position != 0;
 }
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -362,12 +362,12 @@
 /* Handles the end of an attempt: finishes, retries or fails the request, or waits for its other
  * attempt. */
 void
-lc_dispatch_handle_attempt_end (LcDispatch *dispatch,
-                                LcRequest *request,
-                                LcAttempt *attempt,
-                                LcAttemptEnd end,
-                                LbTime now,
-                                LbList *actions)
+lc_dispatch_end_attempt (LcDispatch *dispatch,
+                         LcRequest *request,
+                         LcAttempt *attempt,
+                         LcAttemptEnd end,
+                         LbTime now,
+                         LbList *actions)
 {
   if (proves_endpoint_alive (end))
     lc_quarantine_record_answer (dispatch->quarantine, request->content, now);
--- a/packages/core/src/dispatch/lc-pieces.c
+++ b/packages/core/src/dispatch/lc-pieces.c
@@ -56,7 +56,7 @@
 
   action->attempt = attempt->number;
   LB_COPY (action->endpoint, attempt->endpoint);
-  lc_dispatch_handle_attempt_end (dispatch, request, attempt, LC_END_BROKEN, now, actions);
+  lc_dispatch_end_attempt (dispatch, request, attempt, LC_END_BROKEN, now, actions);
   lc_dispatch_send_waiting_requests (dispatch, pool, now, actions);
   return count_dropped_piece ();
 }
--- a/packages/core/src/dispatch/lc-placement.c
+++ b/packages/core/src/dispatch/lc-placement.c
@@ -129,14 +129,15 @@
 
   query.reported_since = oldest_current_report_time (dispatch, now);
 
-  LcRouteDecision decision = lc_router_choose (dispatch->router, dispatch->endpoints, &query, now);
+  LcRouteDecision decision
+      = lc_router_choose_endpoint (dispatch->router, dispatch->endpoints, &query, now);
 
   if (decision.endpoint)
     request->pool->held_since = 0;
   if (decision.endpoint || has_current_report (dispatch, request->pool, query.reported_since))
     return decision;
   query.reported_since = 0;
-  decision = lc_router_choose (dispatch->router, dispatch->endpoints, &query, now);
+  decision = lc_router_choose_endpoint (dispatch->router, dispatch->endpoints, &query, now);
   return decision.endpoint ? wait_for_report_or_use_decision (request->pool, &decision, now)
                            : decision;
 }
@@ -198,7 +199,7 @@
 /* Whether it is worth trying to place a newly queued request. If the queue's first request accepts
  * any endpoint and still waits, no endpoint has capacity for the new one either. */
 bool
-lc_dispatch_may_be_placed (const LcRequest *request)
+lc_dispatch_should_try_placement (const LcRequest *request)
 {
   const LcQueueEntry *first = lc_queue_peek (request->pool->queue);
 
@@ -226,7 +227,7 @@
                LbList *actions)
 {
   const char *endpoint = decision->endpoint->member.name;
-  LbTime quarantined_until = lc_dispatch_quarantined_until (dispatch, request->content, now);
+  LbTime quarantined_until = lc_dispatch_find_quarantine_end (dispatch, request->content, now);
 
   lc_queue_dequeue (request->pool->queue, &request->queue_entry);
   if (quarantined_until > 0)
@@ -300,7 +301,7 @@
 }
 
 void
-lc_dispatch_send_waiting_of_all_pools (LcDispatch *dispatch, LbTime now, LbList *actions)
+lc_dispatch_send_waiting_requests_of_all_pools (LcDispatch *dispatch, LbTime now, LbList *actions)
 {
   LcPoolState *next = NULL;
 
@@ -357,7 +358,7 @@
   lc_dispatch_reschedule_request_timer (dispatch, request);
   if (!attempt || request->timer_due > now)
     return;
-  if (lc_dispatch_quarantined_until (dispatch, request->content, now) > 0)
+  if (lc_dispatch_find_quarantine_end (dispatch, request->content, now) > 0)
     {
       postpone_hedge (dispatch, request, attempt, now);
       return;
--- a/packages/core/src/dispatch/lc-policies.c
+++ b/packages/core/src/dispatch/lc-policies.c
@@ -33,7 +33,10 @@
 }
 
 LcRouteDecision
-lc_policy_choose (LcRouter *router, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
+lc_policy_choose_endpoint (LcRouter *router,
+                           LcEndpoints *endpoints,
+                           const LcRouteQuery *query,
+                           LbTime now)
 {
   LcPolicy *policy = (LcPolicy *)router;
   const LcPolicyClass *klass = (const LcPolicyClass *)router->klass;
@@ -80,15 +83,16 @@
 }
 
 const double *
-lc_policy_compute_cached_shares (LcPolicy *policy,
-                                 const LcEndpoints *endpoints,
-                                 const LcRouteQuery *query,
-                                 LbTime now)
+lc_policy_compute_cached_prompt_shares (LcPolicy *policy,
+                                        const LcEndpoints *endpoints,
+                                        const LcRouteQuery *query,
+                                        LbTime now)
 {
   LcCachedShare shares[MAX_CACHED_SHARES];
-  size_t n = lc_prefix_index_find_shares (endpoints->prefix_index, query->prefix_hashes,
-                                          query->n_prefix_hashes, endpoints->caches,
-                                          endpoints->n_slots, now, shares, MAX_CACHED_SHARES);
+  size_t n
+      = lc_prefix_index_find_cached_shares (endpoints->prefix_index, query->prefix_hashes,
+                                            query->n_prefix_hashes, endpoints->caches,
+                                            endpoints->n_slots, now, shares, MAX_CACHED_SHARES);
 
   ensure_cached_shares_size (policy, endpoints->n_slots);
   for (size_t i = 0; i < n; i++)
@@ -98,7 +102,7 @@
 }
 
 void
-lc_policy_clear_cached_shares (LcPolicy *policy)
+lc_policy_clear_cached_prompt_shares (LcPolicy *policy)
 {
   memset (policy->cached_shares, 0, policy->n_cached_shares * sizeof *policy->cached_shares);
 }
--- a/packages/core/src/dispatch/lc-policies.h
+++ b/packages/core/src/dispatch/lc-policies.h
@@ -52,18 +52,20 @@
 /* Functions of LcRouterClass that all policies share. */
 LcRouter *lc_policy_new (const LcPolicyClass *klass, uint64_t seed);
 void lc_policy_free (LcRouter *router);
-LcRouteDecision
-lc_policy_choose (LcRouter *router, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now);
+LcRouteDecision lc_policy_choose_endpoint (LcRouter *router,
+                                           LcEndpoints *endpoints,
+                                           const LcRouteQuery *query,
+                                           LbTime now);
 
 /* Returns the index of the candidate with the lowest score; breaks ties at random. */
 size_t lc_policy_pick_lowest_score (LcPolicy *policy);
 /* Returns for each endpoint the share of the query's prompt that is expected in its prefix cache,
- * by LcEndpoint.slot. Valid until lc_policy_clear_cached_shares. */
-const double *lc_policy_compute_cached_shares (LcPolicy *policy,
-                                               const LcEndpoints *endpoints,
-                                               const LcRouteQuery *query,
-                                               LbTime now);
-void lc_policy_clear_cached_shares (LcPolicy *policy);
+ * by LcEndpoint.slot. Valid until lc_policy_clear_cached_prompt_shares. */
+const double *lc_policy_compute_cached_prompt_shares (LcPolicy *policy,
+                                                      const LcEndpoints *endpoints,
+                                                      const LcRouteQuery *query,
+                                                      LbTime now);
+void lc_policy_clear_cached_prompt_shares (LcPolicy *policy);
 /* Rendezvous hashing: returns the rank (0 < rank <= 1) of the endpoint for the key, which is the
  * same on all instances. */
 double lc_policy_rendezvous_rank (const LcEndpointEntry *entry, uint64_t key);
--- a/packages/core/src/dispatch/lc-pool.c
+++ b/packages/core/src/dispatch/lc-pool.c
@@ -56,7 +56,7 @@
 }
 
 bool
-lc_pool_state_is_full (const LcPoolState *pool)
+lc_pool_state_is_queue_full (const LcPoolState *pool)
 {
   return (int64_t)lc_queue_length (pool->queue) >= pool->queue_limit;
 }
--- a/packages/core/src/dispatch/lc-pool.h
+++ b/packages/core/src/dispatch/lc-pool.h
@@ -41,7 +41,7 @@
 void lc_pool_state_record_attempt_end (LcPoolState *pool, LcRequestKind kind, LbTime duration);
 
 /* Functions that only read the pool's state. */
-bool lc_pool_state_is_full (const LcPoolState *pool);
+bool lc_pool_state_is_queue_full (const LcPoolState *pool);
 LbTime lc_pool_state_estimate_wait (const LcPoolState *pool, const LcQueueKey *key);
 
 #endif
--- a/packages/core/src/dispatch/lc-queue.c
+++ b/packages/core/src/dispatch/lc-queue.c
@@ -291,7 +291,7 @@
 mark_request_ready (LcFlow *flow, LcQueueEntry *entry)
 {
   lc_heap_push (&flow->ready, &entry->ready_node);
-  if (!lc_heap_node_is_linked (&flow->active_node))
+  if (!lc_heap_node_is_in_heap (&flow->active_node))
     lc_heap_push (&flow->band->active, &flow->active_node);
 }
 
@@ -336,7 +336,7 @@
   entry->priority = key->priority;
   mark_request_ready (flow, entry);
   lc_heap_push (&flow->drop_order, &entry->drop_node);
-  lc_heap_update (&band->backlog, &flow->backlog_node);
+  lc_heap_reposition_node (&band->backlog, &flow->backlog_node);
   band->length++;
   queue->length++;
   queue->kind_length[flow->kind]++;
@@ -362,7 +362,7 @@
   if (flow->drop_order.length == 0)
     flow_leave_backlog (flow);
   else
-    lc_heap_update (&flow->band->backlog, &flow->backlog_node);
+    lc_heap_reposition_node (&flow->band->backlog, &flow->backlog_node);
 }
 
 /* Removes a request that is about to be sent, and charges its cost to its flow. */
@@ -375,8 +375,8 @@
   if (flow->next_start > band->virtual_time)
     band->virtual_time = flow->next_start;
   flow->next_start += entry->cost / flow->share;
-  if (lc_heap_node_is_linked (&flow->active_node))
-    lc_heap_update (&band->active, &flow->active_node);
+  if (lc_heap_node_is_in_heap (&flow->active_node))
+    lc_heap_reposition_node (&band->active, &flow->active_node);
   lc_queue_remove (queue, entry);
 }
 
--- a/packages/core/src/dispatch/lc-router-finish-time.c
+++ b/packages/core/src/dispatch/lc-router-finish-time.c
@@ -83,7 +83,7 @@
     .endpoints = endpoints,
     .group = group,
     .query = query,
-    .cached_shares = lc_policy_compute_cached_shares (policy, endpoints, query, now),
+    .cached_shares = lc_policy_compute_cached_prompt_shares (policy, endpoints, query, now),
     .mean_service_seconds = seconds > 0 ? seconds : DEFAULT_SERVICE_SECONDS,
     .expected_tokens = (double)tokens,
     .data_centre = lc_endpoints_find_data_centre (endpoints, query->data_centre),
@@ -384,7 +384,7 @@
 
   inputs.group->prefix_bound_share
       += PREFIX_BOUND_EWMA_WEIGHT * ((is_prefix_bound ? 1 : 0) - inputs.group->prefix_bound_share);
-  lc_policy_clear_cached_shares (policy);
+  lc_policy_clear_cached_prompt_shares (policy);
   return chosen;
 }
 
@@ -398,7 +398,7 @@
   .base = { .name = "lentilspindle",
             .create = create_finish_time_policy,
             .destroy = lc_policy_free,
-            .choose = lc_policy_choose },
+            .choose = lc_policy_choose_endpoint },
   .reason = "least-finish-time",
   .pick = pick_least_finish_time,
 };
--- a/packages/core/src/dispatch/lc-router-least-outstanding.c
+++ b/packages/core/src/dispatch/lc-router-least-outstanding.c
@@ -28,7 +28,7 @@
   .base = { .name = "least-outstanding",
             .create = create_least_outstanding_policy,
             .destroy = lc_policy_free,
-            .choose = lc_policy_choose },
+            .choose = lc_policy_choose_endpoint },
   .reason = "least-outstanding",
   .pick = pick_least_outstanding,
 };
--- a/packages/core/src/dispatch/lc-router-power-of-two.c
+++ b/packages/core/src/dispatch/lc-router-power-of-two.c
@@ -37,7 +37,7 @@
   .base = { .name = "power-of-two",
             .create = create_power_of_two_policy,
             .destroy = lc_policy_free,
-            .choose = lc_policy_choose },
+            .choose = lc_policy_choose_endpoint },
   .reason = "shorter-of-two",
   .pick = pick_less_loaded_of_two,
 };
--- a/packages/core/src/dispatch/lc-router-prefix-affinity.c
+++ b/packages/core/src/dispatch/lc-router-prefix-affinity.c
@@ -11,7 +11,8 @@
   if (query->n_prefix_hashes == 0)
     return gsl_rng_uniform_int (policy->rng, candidates->n_items);
 
-  const double *cached_shares = lc_policy_compute_cached_shares (policy, endpoints, query, now);
+  const double *cached_shares
+      = lc_policy_compute_cached_prompt_shares (policy, endpoints, query, now);
   size_t best = 0;
 
   for (size_t i = 0; i < candidates->n_items; i++)
@@ -23,7 +24,7 @@
       if (candidates->items[i].score < candidates->items[best].score)
         best = i;
     }
-  lc_policy_clear_cached_shares (policy);
+  lc_policy_clear_cached_prompt_shares (policy);
   return best;
 }
 
@@ -37,7 +38,7 @@
   .base = { .name = "prefix-affinity",
             .create = create_prefix_affinity_policy,
             .destroy = lc_policy_free,
-            .choose = lc_policy_choose },
+            .choose = lc_policy_choose_endpoint },
   .reason = "most-cached",
   .pick = pick_most_cached,
 };
--- a/packages/core/src/dispatch/lc-router-random.c
+++ b/packages/core/src/dispatch/lc-router-random.c
@@ -20,7 +20,7 @@
   .base = { .name = "random",
             .create = create_random_policy,
             .destroy = lc_policy_free,
-            .choose = lc_policy_choose },
+            .choose = lc_policy_choose_endpoint },
   .reason = "random",
   .pick = pick_random,
 };
--- a/packages/core/src/dispatch/lc-router-round-robin.c
+++ b/packages/core/src/dispatch/lc-router-round-robin.c
@@ -23,7 +23,7 @@
   .base = { .name = "round-robin",
             .create = create_round_robin_policy,
             .destroy = lc_policy_free,
-            .choose = lc_policy_choose },
+            .choose = lc_policy_choose_endpoint },
   .reason = "next-in-turn",
   .pick = pick_next_in_turn,
 };
--- a/packages/core/src/dispatch/lc-router.c
+++ b/packages/core/src/dispatch/lc-router.c
@@ -39,7 +39,10 @@
 }
 
 LcRouteDecision
-lc_router_choose (LcRouter *router, LcEndpoints *endpoints, const LcRouteQuery *query, LbTime now)
+lc_router_choose_endpoint (LcRouter *router,
+                           LcEndpoints *endpoints,
+                           const LcRouteQuery *query,
+                           LbTime now)
 {
   return router->klass->choose (router, endpoints, query, now);
 }
--- a/packages/core/src/dispatch/lc-timers.c
+++ b/packages/core/src/dispatch/lc-timers.c
@@ -55,8 +55,8 @@
   request->timer_due = next_timer_due (dispatch, request);
   if (request->timer_due == LB_TIME_NEVER)
     lc_heap_remove (&dispatch->timers, &request->timer_node);
-  else if (lc_heap_node_is_linked (&request->timer_node))
-    lc_heap_update (&dispatch->timers, &request->timer_node);
+  else if (lc_heap_node_is_in_heap (&request->timer_node))
+    lc_heap_reposition_node (&dispatch->timers, &request->timer_node);
   else
     lc_heap_push (&dispatch->timers, &request->timer_node);
 }
--- a/packages/core/src/endpoints/lc-endpoint-entry.c
+++ b/packages/core/src/endpoints/lc-endpoint-entry.c
@@ -8,7 +8,7 @@
 #define MIN_REPEATED_REPORTS 10
 
 void
-lc_endpoint_entry_invalidate_prefixes (LcEndpointEntry *entry)
+lc_endpoint_entry_invalidate_cached_prefixes (LcEndpointEntry *entry)
 {
   entry->cache.epoch = ++entry->table->last_epoch;
   entry->cache.last_sequence = 0;
@@ -84,20 +84,20 @@
  * the end of the stop are ignored. Without this, the retry of a stream that broke during the stop
  * could be sent to an endpoint that announced meanwhile that it is leaving. */
 void
-lc_endpoints_record_event_time (LcEndpoints *endpoints, LbTime now)
+lc_endpoints_detect_process_pause (LcEndpoints *endpoints, LbTime now)
 {
   endpoints->reports_valid_since = lc_endpoints_reports_valid_since (endpoints, now);
   endpoints->last_event_at = now;
 }
 
 void
-lc_endpoint_entry_publish_state (LcEndpointEntry *entry, LbTime now)
+lc_endpoint_entry_refresh_public_state (LcEndpointEntry *entry, LbTime now)
 {
   LcEndpoint *endpoint = &entry->endpoint;
   bool leaving
       = endpoint->member.leaving || lc_leaving_is_current_incarnation_leaving (&entry->leaving);
 
-  lc_endpoints_record_event_time (entry->table, now);
+  lc_endpoints_detect_process_pause (entry->table, now);
   if (leaving && !endpoint->leaving)
     endpoint->leaving_since = now;
   endpoint->leaving = leaving;
@@ -115,5 +115,5 @@
   entry->endpoint.swap_pending = false;
   memset (&entry->breaker, 0, sizeof entry->breaker);
   lc_concurrency_init (&entry->concurrency, entry->endpoint.member.concurrency);
-  lc_endpoint_entry_invalidate_prefixes (entry);
+  lc_endpoint_entry_invalidate_cached_prefixes (entry);
 }
--- a/packages/core/src/endpoints/lc-endpoint-table.h
+++ b/packages/core/src/endpoints/lc-endpoint-table.h
@@ -116,13 +116,13 @@
 LcEndpointEntry *lc_endpoints_find_entry (const LcEndpoints *endpoints, const char *name);
 
 /* Load reports measured before the returned time are ignored; see
- * lc_endpoints_record_event_time. */
+ * lc_endpoints_detect_process_pause. */
 LbTime lc_endpoints_reports_valid_since (const LcEndpoints *endpoints, LbTime now);
-void lc_endpoints_record_event_time (LcEndpoints *endpoints, LbTime now);
+void lc_endpoints_detect_process_pause (LcEndpoints *endpoints, LbTime now);
 /* Copies the state of the entry's components to its endpoint and its summary. */
-void lc_endpoint_entry_publish_state (LcEndpointEntry *entry, LbTime now);
+void lc_endpoint_entry_refresh_public_state (LcEndpointEntry *entry, LbTime now);
 void lc_endpoint_entry_reset_for_new_process (LcEndpointEntry *entry);
-void lc_endpoint_entry_invalidate_prefixes (LcEndpointEntry *entry);
+void lc_endpoint_entry_invalidate_cached_prefixes (LcEndpointEntry *entry);
 
 /* reports_valid_since: result of lc_endpoints_reports_valid_since, read once per routing
  * decision. */
--- a/packages/core/src/endpoints/lc-endpoints-config.c
+++ b/packages/core/src/endpoints/lc-endpoints-config.c
@@ -95,7 +95,7 @@
   entry->name_hash = XXH3_64bits (member->name, strlen (member->name));
   entry->cache.slot = allocate_slot (endpoints, &entry->cache);
   entry->endpoint.slot = entry->cache.slot;
-  lc_endpoint_entry_invalidate_prefixes (entry);
+  lc_endpoint_entry_invalidate_cached_prefixes (entry);
   entry->single_stream_token_seconds = DEFAULT_TOKEN_SECONDS;
   lc_concurrency_init (&entry->concurrency, member->concurrency);
   endpoints->entries[endpoints->n_entries++] = entry;
@@ -241,7 +241,7 @@
 
       entry->data_centre = add_data_centre (endpoints, entry->endpoint.member.data_centre);
       add_entry_to_group (endpoints, entry);
-      lc_endpoint_entry_publish_state (entry, now);
+      lc_endpoint_entry_refresh_public_state (entry, now);
     }
 }
 
--- a/packages/core/src/endpoints/lc-endpoints.c
+++ b/packages/core/src/endpoints/lc-endpoints.c
@@ -69,11 +69,13 @@
   entry->table->n_repeated_reports += entry->is_reported;
   entry->is_reported = true;
   endpoint->sent_since_report
-      = lc_in_flight_history_count_sent_after (&entry->in_flight_history, report->measured_at);
+      = lc_in_flight_history_count_requests_sent_after (&entry->in_flight_history,
+                                                        report->measured_at);
   entry->live_sent_since_report
-      = lc_in_flight_history_count_live_sent_after (&entry->in_flight_history, report->measured_at);
+      = lc_in_flight_history_count_live_requests_sent_after (&entry->in_flight_history,
+                                                             report->measured_at);
   entry->in_flight_at_report
-      = lc_in_flight_history_count_at (&entry->in_flight_history, report->measured_at);
+      = lc_in_flight_history_count_requests_at (&entry->in_flight_history, report->measured_at);
   update_single_stream_token_seconds (entry);
   end_weight_swap_if_confirmed (entry);
 }
@@ -108,7 +110,7 @@
 {
   bool was_leaving = entry->endpoint.leaving;
 
-  lc_endpoint_entry_publish_state (entry, now);
+  lc_endpoint_entry_refresh_public_state (entry, now);
   if (was_leaving || !entry->endpoint.leaving)
     return false;
   lb_log (LB_LOG_INFO, "endpoint-leaving", LB_TEXT ("endpoint", entry->endpoint.member.name),
@@ -120,10 +122,10 @@
 /* Reports are ordered by the time when they were measured. An outdated report does not change the
  * load, but if it states that the endpoint is leaving, its incarnation is marked as leaving. */
 void
-lc_endpoints_record_load (LcEndpoints *endpoints,
-                          const char *name,
-                          const LcLoadReport *report,
-                          LbTime now)
+lc_endpoints_record_load_report (LcEndpoints *endpoints,
+                                 const char *name,
+                                 const LcLoadReport *report,
+                                 LbTime now)
 {
   LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, name);
 
@@ -140,8 +142,9 @@
   publish_and_log_leaving (entry, LC_LEAVING_ENDPOINT, now);
 }
 
-/* The platform's list names no incarnation: pass "", and call lc_endpoints_clear_platform_leaving
- * when the list no longer marks the endpoint. Peers always name the incarnation. */
+/* The platform's list names no incarnation: pass "", and call
+ * lc_endpoints_clear_platform_leaving_mark when the list no longer marks the endpoint. Peers always
+ * name the incarnation. */
 bool
 lc_endpoints_mark_leaving (LcEndpoints *endpoints,
                            const char *name,
@@ -161,18 +164,18 @@
 }
 
 void
-lc_endpoints_clear_platform_leaving (LcEndpoints *endpoints, const char *name, LbTime now)
+lc_endpoints_clear_platform_leaving_mark (LcEndpoints *endpoints, const char *name, LbTime now)
 {
   LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, name);
 
   if (!entry)
     return;
   lc_leaving_set_marked_by_platform (&entry->leaving, false);
-  lc_endpoint_entry_publish_state (entry, now);
+  lc_endpoint_entry_refresh_public_state (entry, now);
 }
 
 void
-lc_endpoints_set_weight_swap (
+lc_endpoints_set_weight_swap_state (
     LcEndpoints *endpoints, const char *name, bool pending, LbTime until, LbTime now)
 {
   LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, name);
@@ -186,7 +189,7 @@
     }
   entry->endpoint.swap_pending = pending;
   entry->endpoint.swap_until = until;
-  lc_endpoint_entry_publish_state (entry, now);
+  lc_endpoint_entry_refresh_public_state (entry, now);
 }
 
 void
@@ -200,8 +203,8 @@
   LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, name);
 
   if (entry)
-    lc_prefix_index_apply_event (endpoints->prefix_index, &entry->cache, sequence, stored,
-                                 prefix_hash, now);
+    lc_prefix_index_apply_cache_event (endpoints->prefix_index, &entry->cache, sequence, stored,
+                                       prefix_hash, now);
 }
 
 /* prefix_hash: hash of the whole prompt; 0: the request has no prompt hash. */
@@ -222,7 +225,7 @@
   lc_breaker_request_sent (&entry->breaker, now);
   if (prefix_hash != 0)
     lc_prefix_index_add_sent_prefix (entry->table->prefix_index, &entry->cache, prefix_hash, now);
-  lc_endpoint_entry_publish_state (entry, now);
+  lc_endpoint_entry_refresh_public_state (entry, now);
 }
 
 static void
@@ -241,7 +244,7 @@
   endpoint->last_reply_at = now;
   update_ewma (&endpoint->ewma_first_byte_seconds, seconds);
   lc_concurrency_first_byte_received (&entry->concurrency, seconds, endpoint->in_flight, now);
-  lc_endpoint_entry_publish_state (entry, now);
+  lc_endpoint_entry_refresh_public_state (entry, now);
 }
 
 /* Returns the seconds per token at the fastest endpoint of the group; 0: not known. */
@@ -268,7 +271,7 @@
   entry->stream_pace = (LcStreamPace){ 0 };
   entry->stream_pace_at = 0;
   entry->single_stream_token_seconds = token_seconds;
-  lc_endpoint_entry_publish_state (entry, now);
+  lc_endpoint_entry_refresh_public_state (entry, now);
 }
 
 /* Discards outdated stream paces of the group. A slow engine gets no requests while other engines
@@ -312,7 +315,7 @@
   if (seconds == 0 || endpoint->report.tokens_per_second > 0)
     return;
   entry->single_stream_token_seconds = seconds;
-  lc_endpoint_entry_publish_state (entry, now);
+  lc_endpoint_entry_refresh_public_state (entry, now);
 }
 
 static void
@@ -348,7 +351,7 @@
   LcEndpointEntry *entry = lc_endpoint_to_entry (endpoint);
 
   record_request_end (entry, kind, now);
-  lc_endpoint_entry_publish_state (entry, now);
+  lc_endpoint_entry_refresh_public_state (entry, now);
 }
 
 void
@@ -369,7 +372,7 @@
       lc_breaker_request_failed (&entry->breaker, now - took, now);
       lc_concurrency_request_failed (&entry->concurrency, now);
     }
-  lc_endpoint_entry_publish_state (entry, now);
+  lc_endpoint_entry_refresh_public_state (entry, now);
 }
 
 /* An engine rejects all new requests while it loads weights. If each rejection counted as a
@@ -388,7 +391,7 @@
     }
   record_request_end (entry, kind, now);
   entry->refused_until = now + REFUSAL_BACKOFF;
-  lc_endpoint_entry_publish_state (entry, now);
+  lc_endpoint_entry_refresh_public_state (entry, now);
 }
 
 LcEndpoint *
--- a/packages/core/src/endpoints/lc-in-flight-history.c
+++ b/packages/core/src/endpoints/lc-in-flight-history.c
@@ -26,7 +26,7 @@
 /* Returns the number of requests in flight at the given time. For a time before the oldest recorded
  * change, returns the number before that change. */
 int64_t
-lc_in_flight_history_count_at (const LcInFlightHistory *history, LbTime at)
+lc_in_flight_history_count_requests_at (const LcInFlightHistory *history, LbTime at)
 {
   size_t oldest = find_oldest_change_index (history);
 
@@ -39,7 +39,7 @@
 }
 
 int64_t
-lc_in_flight_history_count_sent_after (const LcInFlightHistory *history, LbTime at)
+lc_in_flight_history_count_requests_sent_after (const LcInFlightHistory *history, LbTime at)
 {
   int64_t n_sent = 0;
 
@@ -50,7 +50,7 @@
 }
 
 int64_t
-lc_in_flight_history_count_live_sent_after (const LcInFlightHistory *history, LbTime at)
+lc_in_flight_history_count_live_requests_sent_after (const LcInFlightHistory *history, LbTime at)
 {
   int64_t n_sent = 0;
 
--- a/packages/core/src/endpoints/lc-in-flight-history.h
+++ b/packages/core/src/endpoints/lc-in-flight-history.h
@@ -26,8 +26,10 @@
     LcInFlightHistory *history, int64_t in_flight, bool is_sent, bool is_live, LbTime now);
 
 /* Functions that only read an LcInFlightHistory. */
-int64_t lc_in_flight_history_count_at (const LcInFlightHistory *history, LbTime at);
-int64_t lc_in_flight_history_count_sent_after (const LcInFlightHistory *history, LbTime at);
-int64_t lc_in_flight_history_count_live_sent_after (const LcInFlightHistory *history, LbTime at);
+int64_t lc_in_flight_history_count_requests_at (const LcInFlightHistory *history, LbTime at);
+int64_t lc_in_flight_history_count_requests_sent_after (const LcInFlightHistory *history,
+                                                        LbTime at);
+int64_t lc_in_flight_history_count_live_requests_sent_after (const LcInFlightHistory *history,
+                                                             LbTime at);
 
 #endif
--- a/packages/core/src/endpoints/lc-prefix-index.c
+++ b/packages/core/src/endpoints/lc-prefix-index.c
@@ -156,12 +156,12 @@
  * counted as missed and is ignored: applied out of order, it could restore a prefix that was
  * evicted. */
 void
-lc_prefix_index_apply_event (LcPrefixIndex *index,
-                             LcEndpointCache *cache,
-                             uint64_t sequence,
-                             bool stored,
-                             uint64_t prefix,
-                             LbTime now)
+lc_prefix_index_apply_cache_event (LcPrefixIndex *index,
+                                   LcEndpointCache *cache,
+                                   uint64_t sequence,
+                                   bool stored,
+                                   uint64_t prefix,
+                                   LbTime now)
 {
   if (sequence <= cache->last_sequence)
     return;
@@ -198,14 +198,14 @@
 }
 
 size_t
-lc_prefix_index_find_shares (const LcPrefixIndex *index,
-                             const uint64_t *prefixes,
-                             size_t n_prefixes,
-                             const LcEndpointCache *const *caches,
-                             size_t n_caches,
-                             LbTime now,
-                             LcCachedShare *shares,
-                             size_t max)
+lc_prefix_index_find_cached_shares (const LcPrefixIndex *index,
+                                    const uint64_t *prefixes,
+                                    size_t n_prefixes,
+                                    const LcEndpointCache *const *caches,
+                                    size_t n_caches,
+                                    LbTime now,
+                                    LcCachedShare *shares,
+                                    size_t max)
 {
   size_t n = 0;
 
--- a/packages/core/src/endpoints/lc-prefix-index.h
+++ b/packages/core/src/endpoints/lc-prefix-index.h
@@ -28,12 +28,12 @@
 void lc_prefix_index_free (LcPrefixIndex *index);
 
 /* Functions that change an LcPrefixIndex. */
-void lc_prefix_index_apply_event (LcPrefixIndex *index,
-                                  LcEndpointCache *cache,
-                                  uint64_t sequence,
-                                  bool stored,
-                                  uint64_t prefix,
-                                  LbTime now);
+void lc_prefix_index_apply_cache_event (LcPrefixIndex *index,
+                                        LcEndpointCache *cache,
+                                        uint64_t sequence,
+                                        bool stored,
+                                        uint64_t prefix,
+                                        LbTime now);
 void lc_prefix_index_add_sent_prefix (LcPrefixIndex *index,
                                       const LcEndpointCache *cache,
                                       uint64_t prefix,
@@ -43,14 +43,14 @@
 /* prefixes: hashes of the prompt's prefixes, shortest first; caches: indexed by slot of the
  * endpoint, NULL for a free slot. Fills in at most max shares, one for each prefix and
  * endpoint that holds it, and returns their number. */
-size_t lc_prefix_index_find_shares (const LcPrefixIndex *index,
-                                    const uint64_t *prefixes,
-                                    size_t n_prefixes,
-                                    const LcEndpointCache *const *caches,
-                                    size_t n_caches,
-                                    LbTime now,
-                                    LcCachedShare *shares,
-                                    size_t max);
+size_t lc_prefix_index_find_cached_shares (const LcPrefixIndex *index,
+                                           const uint64_t *prefixes,
+                                           size_t n_prefixes,
+                                           const LcEndpointCache *const *caches,
+                                           size_t n_caches,
+                                           LbTime now,
+                                           LcCachedShare *shares,
+                                           size_t max);
 /* Expected share of the prompt in the cache of one endpoint, 0..1: the largest share over the
  * prompt's prefixes. */
 double lc_prefix_index_expected_cached_share (const LcPrefixIndex *index,
--- a/packages/core/src/endpoints/lc-roster.c
+++ b/packages/core/src/endpoints/lc-roster.c
@@ -402,7 +402,7 @@
 }
 
 bool
-lc_roster_confirm_list (LcRoster *roster, LbTime asked_at, LbTime now)
+lc_roster_record_unchanged_list (LcRoster *roster, LbTime asked_at, LbTime now)
 {
   record_list_time (roster, asked_at, now);
   bool changed = remove_unlisted_entries (roster, now);
@@ -455,7 +455,7 @@
 }
 
 size_t
-lc_roster_count (const LcRoster *roster)
+lc_roster_count_endpoints (const LcRoster *roster)
 {
   return roster->n_entries;
 }
--- a/packages/core/src/endpoints/lc-scaling.c
+++ b/packages/core/src/endpoints/lc-scaling.c
@@ -323,10 +323,10 @@
 }
 
 void
-lc_scaling_finish_order (LcScaling *scaling,
-                         const LcScalingOrder *order,
-                         LcScalingOutcome outcome,
-                         LbTime now)
+lc_scaling_record_order_outcome (LcScaling *scaling,
+                                 const LcScalingOrder *order,
+                                 LcScalingOutcome outcome,
+                                 LbTime now)
 {
   Location *location = find_or_add_location (scaling, order->service, order->data_centre);
 
--- a/packages/core/src/endpoints/lc-subset.c
+++ b/packages/core/src/endpoints/lc-subset.c
@@ -254,7 +254,7 @@
 }
 
 void
-lc_subset_clear_expected_services (LcSubset *subset)
+lc_subset_clear_required_services (LcSubset *subset)
 {
   for (Service *service = subset->services; service; service = service->hh.next)
     {
@@ -264,7 +264,7 @@
 }
 
 void
-lc_subset_expect_service (LcSubset *subset, const char *service)
+lc_subset_add_required_service (LcSubset *subset, const char *service)
 {
   find_or_add_service (subset, service)->is_expected = true;
 }
@@ -297,7 +297,7 @@
 }
 
 void
-lc_subset_grow (LcSubset *subset, const char *name, LbTime now)
+lc_subset_grow_for_service (LcSubset *subset, const char *name, LbTime now)
 {
   Service *service = find_or_add_service (subset, name);
 
--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -269,7 +269,7 @@
 }
 
 bool
-lc_catalog_is_fresh (const LcCatalog *catalog, LbTime now)
+lc_catalog_is_snapshot_fresh (const LcCatalog *catalog, LbTime now)
 {
   return catalog->snapshot_received_at > 0
          && now - catalog->snapshot_received_at
@@ -297,7 +297,7 @@
 }
 
 void
-lc_catalog_foreach (
+lc_catalog_foreach_row (
     const LcCatalog *catalog,
     const char *prefix,
     void (*visit) (const char *name, const char *value, int64_t version, void *user),
@@ -313,13 +313,13 @@
 /* --- writing listings to the shared table --- */
 
 void
-lc_catalog_set_own_period (LcCatalog *catalog, LbTime period)
+lc_catalog_set_listing_period (LcCatalog *catalog, LbTime period)
 {
   catalog->own_period = period;
 }
 
 LbTime
-lc_catalog_publish_period (const LcCatalog *catalog)
+lc_catalog_publisher_listing_period (const LcCatalog *catalog)
 {
   return catalog->publisher_period;
 }
@@ -360,7 +360,7 @@
   bool publishes = catalog->rank >= 0 && lc_catalog_is_publisher (catalog);
 
   return publishes || can_take_over_publishing (catalog, now)
-         || !lc_catalog_is_fresh (catalog, now);
+         || !lc_catalog_is_snapshot_fresh (catalog, now);
 }
 
 void
--- a/packages/core/src/membership/lc-membership-connect.c
+++ b/packages/core/src/membership/lc-membership-connect.c
@@ -22,7 +22,7 @@
   LcMember *member = lc_membership_lookup_member (membership, peer->name);
   if (!member)
     return;
-  lc_membership_record_arrival (membership, link, now);
+  lc_membership_record_frame_arrival (membership, link, now);
   member->suspicion_ignored_until = 0;
   member->suspicion_ignore_time = 0;
   if (member->instance.state != LC_INSTANCE_ALIVE)
@@ -89,7 +89,7 @@
     return;
   member->is_silent = true;
   membership->totals.suspected++;
-  lc_membership_set_state (membership, member, LC_INSTANCE_SUSPECT, now);
+  lc_membership_set_member_state (membership, member, LC_INSTANCE_SUSPECT, now);
 }
 
 /* When a lost region returns, hundreds of instances would compare whole views at once. A few
--- a/packages/core/src/membership/lc-membership-heartbeat.c
+++ b/packages/core/src/membership/lc-membership-heartbeat.c
@@ -5,7 +5,7 @@
 #define UNANSWERED_TIMEOUT_PERIODS 3
 
 void
-lc_membership_record_arrival (LcMembership *membership, LcPeerLink *link, LbTime now)
+lc_membership_record_frame_arrival (LcMembership *membership, LcPeerLink *link, LbTime now)
 {
   LcMember *member = lc_membership_lookup_member (membership, link->name);
 
@@ -34,7 +34,7 @@
   LcPeerLink *link = lc_membership_lookup_link (membership, id);
 
   if (link && link->is_open)
-    lc_membership_record_arrival (membership, link, now);
+    lc_membership_record_frame_arrival (membership, link, now);
 }
 
 void
--- a/packages/core/src/membership/lc-membership-members.c
+++ b/packages/core/src/membership/lc-membership-members.c
@@ -23,7 +23,7 @@
     if (member->instance.state == LC_INSTANCE_SUSPECT && now >= member->declare_dead_at)
       {
         membership->totals.declared_dead++;
-        lc_membership_set_state (membership, member, LC_INSTANCE_DEAD, now);
+        lc_membership_set_member_state (membership, member, LC_INSTANCE_DEAD, now);
       }
     if (is_dead_member_removable (membership, member, now))
       lc_membership_remove_member (membership, member);
--- a/packages/core/src/membership/lc-membership-private.h
+++ b/packages/core/src/membership/lc-membership-private.h
@@ -108,10 +108,10 @@
                                  LcLinkId link,
                                  const LcInstance *update,
                                  LbTime now);
-void lc_membership_set_state (LcMembership *membership,
-                              LcMember *member,
-                              LcInstanceState state,
-                              LbTime now);
+void lc_membership_set_member_state (LcMembership *membership,
+                                     LcMember *member,
+                                     LcInstanceState state,
+                                     LbTime now);
 void lc_membership_resolve_name_conflict (LcMembership *membership, LbTime now);
 void lc_membership_queue_self_update (LcMembership *membership, LbTime now);
 void lc_membership_send_summary (LcMembership *membership, LcLinkId link, LbList *actions);
@@ -147,7 +147,7 @@
 /* Implemented in lc-membership-heartbeat.c. */
 
 /* Records a frame from the peer; the member no longer counts as silent. */
-void lc_membership_record_arrival (LcMembership *membership, LcPeerLink *link, LbTime now);
+void lc_membership_record_frame_arrival (LcMembership *membership, LcPeerLink *link, LbTime now);
 /* Sends due heartbeats and closes connections that timed out or are no longer needed. */
 void lc_membership_tick_links (LcMembership *membership, LbTime now, LbList *actions);
 
--- a/packages/core/src/membership/lc-membership-self.c
+++ b/packages/core/src/membership/lc-membership-self.c
@@ -6,7 +6,7 @@
 /* Marks this instance as draining and broadcasts the mark at once: no caller must be sent to a
  * draining instance. */
 void
-lc_membership_set_draining (LcMembership *membership, LbTime now, LbList *actions)
+lc_membership_mark_self_draining (LcMembership *membership, LbTime now, LbList *actions)
 {
   if (membership->self.draining)
     return;
@@ -22,7 +22,7 @@
  * instances, loads that fluctuate around a step would fill the connections with updates and shift
  * callers between instances. */
 void
-lc_membership_set_load (LcMembership *membership, int64_t load, LbTime now, LbList *actions)
+lc_membership_set_self_load (LcMembership *membership, int64_t load, LbTime now, LbList *actions)
 {
   int64_t published = membership->self.load;
 
--- a/packages/core/src/membership/lc-membership-updates.c
+++ b/packages/core/src/membership/lc-membership-updates.c
@@ -52,10 +52,10 @@
 
 /* Sets a member state that this instance detected itself, rather than received from a peer. */
 void
-lc_membership_set_state (LcMembership *membership,
-                         LcMember *member,
-                         LcInstanceState state,
-                         LbTime now)
+lc_membership_set_member_state (LcMembership *membership,
+                                LcMember *member,
+                                LcInstanceState state,
+                                LbTime now)
 {
   member->instance.state = state;
   record_member_state_change (membership, member, now);
--- a/packages/core/tests/dispatch-fixture.h
+++ b/packages/core/tests/dispatch-fixture.h
@@ -48,7 +48,7 @@
       const char *name = f->members[i].name;
 
       if (lc_endpoints_find (lc_dispatch_get_endpoints (f->dispatch), name)->last_reply_at == 0)
-        lc_dispatch_record_load (f->dispatch, name, &idle, f->now, &f->actions);
+        lc_dispatch_record_load_report (f->dispatch, name, &idle, f->now, &f->actions);
     }
 }
 
--- a/packages/core/tests/endpoints-fixture.h
+++ b/packages/core/tests/endpoints-fixture.h
@@ -30,7 +30,7 @@
   LcLoadReport report = { .version = 1 };
 
   for (size_t i = 0; i < f->set.n_endpoints; i++)
-    lc_endpoints_record_load (f->endpoints, f->members[i].name, &report, 0);
+    lc_endpoints_record_load_report (f->endpoints, f->members[i].name, &report, 0);
 }
 
 static inline void
@@ -82,7 +82,7 @@
   LcLoadReport report = { .version = version, .measured_at = at };
 
   strcpy (report.incarnation, incarnation);
-  lc_endpoints_record_load (f->endpoints, name, &report, at);
+  lc_endpoints_record_load_report (f->endpoints, name, &report, at);
   return report;
 }
 
--- a/packages/core/tests/test-admission.c
+++ b/packages/core/tests/test-admission.c
@@ -73,14 +73,14 @@
   fixture_submit (&f, &low);
   fixture_submit (&f, &high);
   fixture_submit (&f, &second);
-  cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_LIVE), 3);
+  cr_assert_eq (lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_LIVE), 3);
   running = complete_and_take_next_sent (&f, running);
   cr_assert_eq (running, high.id);
   running = complete_and_take_next_sent (&f, running);
   cr_assert_eq (running, second.id);
   running = complete_and_take_next_sent (&f, running);
   cr_assert_eq (running, low.id);
-  cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_SAMPLE), 1);
+  cr_assert_eq (lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_SAMPLE), 1);
   fixture_clear (&f);
 }
 
@@ -253,7 +253,7 @@
   cr_assert_eq (f.error.code, LB_ERROR_OVERLOADED);
   cr_assert_gt (f.retry_after, 0);
   cr_assert (fixture_submit (&f, &fair));
-  cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_SAMPLE), 9);
+  cr_assert_eq (lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_SAMPLE), 9);
   fixture_clear (&f);
 }
 
@@ -310,7 +310,7 @@
 
       cr_assert (fixture_submit (&f, &spec));
     }
-  cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_SAMPLE), 14);
+  cr_assert_eq (lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_SAMPLE), 14);
 
   LcRequestSpec live = make_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
 
@@ -338,11 +338,11 @@
   cr_assert (fixture_submit (&f, &other));
   fixture_expect_action (&f, LC_ACTION_SEND, same.id);
   fixture_expect_action (&f, LC_ACTION_SEND, other.id);
-  cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_SAMPLE), 1);
+  cr_assert_eq (lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_SAMPLE), 1);
 
   LcLoadReport report = { .incarnation = "e1-1", .version = 41, .measured_at = f.now };
 
-  lc_dispatch_record_load (f.dispatch, "e1", &report, f.now, &f.actions);
+  lc_dispatch_record_load_report (f.dispatch, "e1", &report, f.now, &f.actions);
   fixture_expect_action (&f, LC_ACTION_SEND, newest.id);
   fixture_clear (&f);
 }
@@ -398,12 +398,12 @@
     }
   fixture_drop_actions (&f);
 
-  size_t waiting = lc_dispatch_count_waiting (f.dispatch, LC_KIND_LIVE)
-                   + lc_dispatch_count_waiting (f.dispatch, LC_KIND_SAMPLE);
+  size_t waiting = lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_LIVE)
+                   + lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_SAMPLE);
 
   while ((running = complete_and_take_next_sent (&f, running)))
     n_turns++;
   cr_assert_eq (n_turns, waiting);
-  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-catalog.c
+++ b/packages/core/tests/test-catalog.c
@@ -287,7 +287,7 @@
 read_snapshot (const LcCatalog *catalog, Snapshot *snapshot)
 {
   snapshot->n = 0;
-  lc_catalog_foreach (catalog, "e:", append_snapshot_row, snapshot);
+  lc_catalog_foreach_row (catalog, "e:", append_snapshot_row, snapshot);
   return snapshot->n;
 }
 
@@ -676,10 +676,10 @@
   lc_catalog_apply_row (catalog, "e:s-1", REGISTRATION ("s-1"), 2);
   lc_catalog_apply_row (catalog, "publisher", PUBLISHER_ROW ("5000", "true"), 3);
   cr_assert_not (lc_catalog_finish_update (catalog, 7000, LB_SEC));
-  cr_assert_not (lc_catalog_is_fresh (catalog, LB_SEC));
+  cr_assert_not (lc_catalog_is_snapshot_fresh (catalog, LB_SEC));
   lc_catalog_apply_row (catalog, "publisher", PUBLISHER_ROW ("7000", "true"), 4);
   cr_assert (lc_catalog_finish_update (catalog, 7100, 2 * LB_SEC));
-  cr_assert (lc_catalog_is_fresh (catalog, 2 * LB_SEC));
+  cr_assert (lc_catalog_is_snapshot_fresh (catalog, 2 * LB_SEC));
   lc_catalog_free (catalog);
 }
 
@@ -693,7 +693,7 @@
   lc_catalog_apply_row (catalog, "e:s-1", REGISTRATION ("s-1"), 2);
   lc_catalog_apply_row (catalog, "publisher", PUBLISHER_ROW ("5000", "false"), 2);
   cr_assert_not (lc_catalog_finish_update (catalog, 5010, LB_SEC));
-  cr_assert_not (lc_catalog_is_fresh (catalog, LB_SEC));
+  cr_assert_not (lc_catalog_is_snapshot_fresh (catalog, LB_SEC));
   lc_catalog_apply_row (catalog, "e:s-2", REGISTRATION ("s-2"), 3);
   lc_catalog_apply_row (catalog, "publisher", PUBLISHER_ROW ("5000", "true"), 3);
   cr_assert (lc_catalog_finish_update (catalog, 5020, LB_SEC));
@@ -821,9 +821,9 @@
                         5);
   cr_assert (lc_catalog_finish_update (catalog, 1000 + 2000, LB_SEC),
              "a snapshot that is two periods old was rejected");
-  cr_assert_eq (lc_catalog_publish_period (catalog), LB_SEC);
-  cr_assert (lc_catalog_is_fresh (catalog, LB_SEC + 2 * LB_SEC));
-  cr_assert_not (lc_catalog_is_fresh (catalog, LB_SEC + 2300 * LB_MSEC));
+  cr_assert_eq (lc_catalog_publisher_listing_period (catalog), LB_SEC);
+  cr_assert (lc_catalog_is_snapshot_fresh (catalog, LB_SEC + 2 * LB_SEC));
+  cr_assert_not (lc_catalog_is_snapshot_fresh (catalog, LB_SEC + 2300 * LB_MSEC));
   lc_catalog_set_takeover_rank (catalog, 0);
   cr_assert_not (lc_catalog_needs_listing (catalog, LB_SEC + 1400 * LB_MSEC));
   cr_assert (lc_catalog_needs_listing (catalog, LB_SEC + 1600 * LB_MSEC));
--- a/packages/core/tests/test-dispatch-answers.c
+++ b/packages/core/tests/test-dispatch-answers.c
@@ -47,7 +47,7 @@
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 2, 0, 2, false), LC_PIECE_FORWARD);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 2, 2, true), LC_PIECE_DROP);
   fixture_end_attempt (&f, spec.id, 1, LC_END_COMPLETE);
-  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 1);
+  cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 1);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 2, 2, 2, true), LC_PIECE_FORWARD);
   fixture_end_attempt (&f, spec.id, 2, LC_END_COMPLETE);
   cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
--- a/packages/core/tests/test-dispatch-invariants.c
+++ b/packages/core/tests/test-dispatch-invariants.c
@@ -49,7 +49,7 @@
   LcRouter router = { .klass = &faulty_policy };
 
   fixture_init (&f, &settings, 2, 4);
-  lc_dispatch_mark_leaving (f.dispatch, "e1", "", LC_LEAVING_PLATFORM, f.now, &f.actions);
+  lc_dispatch_mark_endpoint_leaving (f.dispatch, "e1", "", LC_LEAVING_PLATFORM, f.now, &f.actions);
 
   LcRouter *working_router = f.dispatch->router;
   LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
@@ -84,7 +84,7 @@
   find_dispatch_request (&f, order.id)->may_have_run = true;
   fixture_end_attempt (&f, running.id, 1, LC_END_COMPLETE);
   cr_assert_not (fixture_take_action (&f, LC_ACTION_SEND, order.id, &action));
-  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 0);
   expect_one_violation_and_reset (&f);
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-dispatch-leaving.c
+++ b/packages/core/tests/test-dispatch-leaving.c
@@ -9,7 +9,8 @@
 static void
 mark_endpoint_leaving (Fixture *f, const char *endpoint)
 {
-  lc_dispatch_mark_leaving (f->dispatch, endpoint, "", LC_LEAVING_PLATFORM, f->now, &f->actions);
+  lc_dispatch_mark_endpoint_leaving (f->dispatch, endpoint, "", LC_LEAVING_PLATFORM, f->now,
+                                     &f->actions);
 }
 
 /* Counts the attempts sent to the endpoint among the pending actions. */
@@ -53,7 +54,7 @@
     }
   cr_assert_eq (count_sends_to (&f, "e2"), 0);
   cr_assert_eq (count_sends_to (&f, "e1"), 6);
-  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
 
@@ -104,7 +105,8 @@
 
   cr_assert_eq (finish.error, LB_ERROR_NO_ENDPOINT);
   cr_assert_gt (finish.retry_after, 0);
-  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 1, "the running call was ended");
+  cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 1,
+                "the running call was ended");
 
   LcRequestSpec late = fixture_new_spec (&f, LC_KIND_LIVE);
 
@@ -167,7 +169,7 @@
   fixture_deliver_piece (&f, waiting.id, 1, 0, 3, true);
   fixture_end_attempt (&f, waiting.id, 1, LC_END_COMPLETE);
   cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, waiting.id).error, LB_OK);
-  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
 
@@ -187,7 +189,7 @@
       cr_assert (fixture_submit (&f, &spec));
     }
   fixture_tick_at (&f, f.now + 2 * LB_SEC);
-  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 0);
 
   LcRequestSpec next = fixture_new_spec (&f, LC_KIND_LIVE);
 
@@ -202,7 +204,7 @@
   LcLoadReport load
       = { .incarnation = "1", .version = 1, .leaving = leaving, .measured_at = f->now };
 
-  lc_dispatch_record_load (f->dispatch, endpoint, &load, f->now, &f->actions);
+  lc_dispatch_record_load_report (f->dispatch, endpoint, &load, f->now, &f->actions);
 }
 
 static const LcDispatchSettings settings_with_default_report_age
@@ -340,7 +342,7 @@
 
   const LcLoadReport any_answer = { .measured_at = f.now };
 
-  lc_dispatch_record_load (f.dispatch, "m1", &any_answer, f.now, &f.actions);
+  lc_dispatch_record_load_report (f.dispatch, "m1", &any_answer, f.now, &f.actions);
   fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-dispatch-not-run.c
+++ b/packages/core/tests/test-dispatch-not-run.c
@@ -80,7 +80,7 @@
   fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
   fixture_end_attempt (&f, spec.id, 2, LC_END_REFUSED);
   n_attempts = 2;
-  for (int i = 0; i < 100 && lc_dispatch_count_in_progress (f.dispatch); i++)
+  for (int i = 0; i < 100 && lc_dispatch_count_requests_in_progress (f.dispatch); i++)
     {
       fixture_tick_at (&f, f.now + LB_SEC);
       fixture_end_attempt (&f, spec.id, ++n_attempts, LC_END_REFUSED);
@@ -188,7 +188,7 @@
   waiting.repeatable = false;
   cr_assert (fixture_submit (&f, &running));
   cr_assert (fixture_submit (&f, &waiting));
-  cr_assert_eq (lc_dispatch_count_waiting (f.dispatch, LC_KIND_LIVE), 1);
+  cr_assert_eq (lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_LIVE), 1);
   fixture_drop_actions (&f);
   fixture_tick_at (&f, waiting.deadline);
 
@@ -218,7 +218,7 @@
   lc_dispatch_cancel (f.dispatch, waiting.id, f.now, &f.actions);
   fixture_end_attempt (&f, running.id, 1, LC_END_COMPLETE);
   cr_assert_not (fixture_take_action (&f, LC_ACTION_SEND, waiting.id, &action));
-  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
 
--- a/packages/core/tests/test-dispatch-random.c
+++ b/packages/core/tests/test-dispatch-random.c
@@ -290,8 +290,8 @@
   record_and_check_pending_actions (model);
   model->leaving[endpoint] = false;
   snprintf (report.incarnation, sizeof report.incarnation, "%d", ++model->incarnation[endpoint]);
-  lc_dispatch_record_load (model->f.dispatch, model->f.members[endpoint].name, &report,
-                           model->f.now, &model->f.actions);
+  lc_dispatch_record_load_report (model->f.dispatch, model->f.members[endpoint].name, &report,
+                                  model->f.now, &model->f.actions);
 }
 
 static void
@@ -299,8 +299,8 @@
 {
   model->leaving[endpoint] = true;
   model->forbid_cancel = true;
-  lc_dispatch_mark_leaving (model->f.dispatch, model->f.members[endpoint].name, "",
-                            LC_LEAVING_ENDPOINT, model->f.now, &model->f.actions);
+  lc_dispatch_mark_endpoint_leaving (model->f.dispatch, model->f.members[endpoint].name, "",
+                                     LC_LEAVING_ENDPOINT, model->f.now, &model->f.actions);
   record_and_check_pending_actions (model);
   model->forbid_cancel = false;
 }
@@ -386,8 +386,8 @@
       if (model->incarnation[i] > 0)
         snprintf (report.incarnation, sizeof report.incarnation, "%d", model->incarnation[i]);
       if (i != model->removed)
-        lc_dispatch_record_load (model->f.dispatch, model->f.members[i].name, &report, model->f.now,
-                                 &model->f.actions);
+        lc_dispatch_record_load_report (model->f.dispatch, model->f.members[i].name, &report,
+                                        model->f.now, &model->f.actions);
     }
 }
 
@@ -409,14 +409,14 @@
   for (int i = 0; i < N_SUBMIT_STEPS; i++)
     run_random_step (model, true);
   lc_dispatch_drain (model->f.dispatch, model->f.now, &model->f.actions);
-  for (int i = 0; i < 100 * N_SUBMIT_STEPS && lc_dispatch_count_in_progress (model->f.dispatch);
-       i++)
+  for (int i = 0;
+       i < 100 * N_SUBMIT_STEPS && lc_dispatch_count_requests_in_progress (model->f.dispatch); i++)
     {
       if (i % STEPS_BETWEEN_REPORTS == 0)
         report_all_loads (model);
       run_random_step (model, false);
     }
-  cr_assert_eq (lc_dispatch_count_in_progress (model->f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_requests_in_progress (model->f.dispatch), 0);
   for (LcRequestId id = 1; id <= model->f.last_id; id++)
     cr_assert (model->calls[id].done, "expected a final result of every request");
   for (size_t i = 0; i < lc_endpoints_count (lc_dispatch_get_endpoints (model->f.dispatch)); i++)
--- a/packages/core/tests/test-dispatch.c
+++ b/packages/core/tests/test-dispatch.c
@@ -21,7 +21,7 @@
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 3, 2, true), LC_PIECE_FORWARD);
   fixture_end_attempt (&f, spec.id, 1, LC_END_COMPLETE);
   cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
-  cr_assert_eq (lc_dispatch_count_in_progress (f.dispatch), 0);
+  cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
 
--- a/packages/core/tests/test-endpoints.c
+++ b/packages/core/tests/test-endpoints.c
@@ -13,7 +13,7 @@
 
   cr_assert (lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, 12));
   cr_assert_not (lc_endpoints_mark_leaving (f.endpoints, "e0", "a", LC_LEAVING_PEER, 12));
-  lc_endpoints_record_load (f.endpoints, "e0", &report, 13);
+  lc_endpoints_record_load_report (f.endpoints, "e0", &report, 13);
   fixture_record_report (&f, "e0", "a", 2, 14);
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", 15));
   fixture_record_report (&f, "e0", "b", 2, 20);
@@ -57,7 +57,7 @@
   fixture_init (&f, 2);
   fixture_record_report (&f, "e0", "a", 1, 10);
   fixture_record_report (&f, "e0", "b", 7, 20);
-  lc_endpoints_record_load (f.endpoints, "e0", &old, 21);
+  lc_endpoints_record_load_report (f.endpoints, "e0", &old, 21);
   cr_assert_eq (fixture_find_endpoint (&f, "e0")->report.version, 7);
   cr_assert (fixture_can_accept_live_call (&f, "e0", 22));
   fixture_clear (&f);
@@ -119,14 +119,14 @@
   fixture_init (&f, 2);
   fixture_record_report (&f, "e0", "a", 1, 10);
   cr_assert (lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 11));
-  lc_endpoints_clear_platform_leaving (f.endpoints, "e0", 12);
+  lc_endpoints_clear_platform_leaving_mark (f.endpoints, "e0", 12);
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", 13),
                  "e0 accepts calls, but the list must not clear a mark of the current incarnation");
   lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 14);
   fixture_record_report (&f, "e0", "b", 1, 20);
   lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 21);
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", 22));
-  lc_endpoints_clear_platform_leaving (f.endpoints, "e0", 23);
+  lc_endpoints_clear_platform_leaving_mark (f.endpoints, "e0", 23);
   cr_assert (fixture_can_accept_live_call (&f, "e0", 24));
   fixture_clear (&f);
 }
@@ -227,7 +227,7 @@
 
   fixture_init (&f, 2);
   fixture_record_report (&f, "e0", "a", 4, 10);
-  lc_endpoints_set_weight_swap (f.endpoints, "e0", true, 100, 20);
+  lc_endpoints_set_weight_swap_state (f.endpoints, "e0", true, 100, 20);
   cr_assert (fixture_can_accept_live_call (&f, "e0", 30),
              "e0 must accept calls while it serves the old weights");
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", 100),
@@ -250,8 +250,8 @@
 
   fixture_init (&f, 2);
   fixture_record_report (&f, "e0", "a", 4, 10);
-  lc_endpoints_set_weight_swap (f.endpoints, "e0", true, 100, 20);
-  lc_endpoints_record_load (f.endpoints, "e0", &early, 105);
+  lc_endpoints_set_weight_swap_state (f.endpoints, "e0", true, 100, 20);
+  lc_endpoints_record_load_report (f.endpoints, "e0", &early, 105);
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", 106));
   fixture_record_report (&f, "e0", "a", 4, 110);
   cr_assert (fixture_can_accept_live_call (&f, "e0", 111));
@@ -285,7 +285,7 @@
   LcLoadReport report = { .incarnation = "a", .version = 1, .running = 7, .measured_at = 10 };
 
   fixture_init (&f, 1);
-  lc_endpoints_record_load (f.endpoints, "e0", &report, 10);
+  lc_endpoints_record_load_report (f.endpoints, "e0", &report, 10);
   cr_assert (fixture_can_accept_live_call (&f, "e0", 11));
   lc_endpoint_request_sent (fixture_find_endpoint (&f, "e0"), LC_KIND_LIVE, 0, 11);
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", 12));
@@ -307,7 +307,7 @@
 
   for (LbTime at = 10; at <= 30; at += 5)
     lc_endpoint_request_sent (endpoint, LC_KIND_LIVE, 0, at);
-  lc_endpoints_record_load (f.endpoints, "e0", &report, 40);
+  lc_endpoints_record_load_report (f.endpoints, "e0", &report, 40);
   cr_assert_eq (endpoint->sent_since_report, 2);
   fixture_clear (&f);
 }
@@ -320,7 +320,7 @@
   LcLoadReport full = { .incarnation = "a", .version = 0, .running = 8, .measured_at = 10 };
 
   fixture_init (&f, 1);
-  lc_endpoints_record_load (f.endpoints, "e0", &full, 10);
+  lc_endpoints_record_load_report (f.endpoints, "e0", &full, 10);
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", 11));
   strcpy (f.members[0].address, "127.0.0.1:2");
   fixture_configure (&f, 12);
@@ -361,7 +361,7 @@
   LcLoadReport ahead = { .incarnation = "a", .version = 1, .measured_at = 3600 * LB_SEC };
 
   fixture_init (&f, 1);
-  lc_endpoints_record_load (f.endpoints, "e0", &ahead, 10);
+  lc_endpoints_record_load_report (f.endpoints, "e0", &ahead, 10);
   fixture_record_report (&f, "e0", "a", 2, 20);
   cr_assert_eq (fixture_find_endpoint (&f, "e0")->report.version, 2);
   fixture_clear (&f);
@@ -375,7 +375,7 @@
   };
 
   fixture_init (&f, 1);
-  lc_endpoints_record_load (f.endpoints, "e0", &report, 10);
+  lc_endpoints_record_load_report (f.endpoints, "e0", &report, 10);
   cr_assert_eq (fixture_find_endpoint (&f, "e0")->report.running, 0);
   cr_assert_not (fixture_can_accept_live_call (&f, "e0", 11),
                  "version -3 must count as no known version");
@@ -421,7 +421,7 @@
   f.members[0].reports_concurrency = true;
   fixture_configure (&f, now);
   for (int i = 0; i < 2; i++)
-    lc_endpoints_set_weight_swap (f.endpoints, f.members[i].name, true, now + LB_SEC, now);
+    lc_endpoints_set_weight_swap_state (f.endpoints, f.members[i].name, true, now + LB_SEC, now);
   cr_assert_not (
       lc_endpoint_can_accept (lc_endpoints_find (f.endpoints, "e0"), LC_KIND_SAMPLE, 0, now));
   cr_assert (
@@ -440,14 +440,14 @@
 
   fixture_init (&f, 1);
   report.measured_at = now;
-  lc_endpoints_record_load (f.endpoints, "e0", &report, now);
+  lc_endpoints_record_load_report (f.endpoints, "e0", &report, now);
   strcpy (f.members[0].pool, "writer");
   fixture_configure (&f, now);
   LcEndpoint *engine = lc_endpoints_find (f.endpoints, "e0");
   cr_assert_not (lc_endpoint_can_accept (engine, LC_KIND_SAMPLE, 0, now));
   report.version = 1;
   report.measured_at = now + LB_MSEC;
-  lc_endpoints_record_load (f.endpoints, "e0", &report, now + LB_MSEC);
+  lc_endpoints_record_load_report (f.endpoints, "e0", &report, now + LB_MSEC);
   cr_assert (lc_endpoint_can_accept (engine, LC_KIND_SAMPLE, 0, now + LB_MSEC));
   cr_assert_eq (engine->report.version, 1);
   fixture_clear (&f);
--- a/packages/core/tests/test-membership.c
+++ b/packages/core/tests/test-membership.c
@@ -252,7 +252,8 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_membership_set_draining (fake_peers_membership (peers, 4), fake_peers_now (peers), &actions);
+  lc_membership_mark_self_draining (fake_peers_membership (peers, 4), fake_peers_now (peers),
+                                    &actions);
   fake_peers_execute_actions (peers, 4, &actions);
   run_peers_for (peers, LB_SEC);
   cr_assert_eq (fake_peers_count_observers_listing (peers, 4), 0);
@@ -355,7 +356,8 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_membership_set_draining (fake_peers_membership (peers, 4), fake_peers_now (peers), &actions);
+  lc_membership_mark_self_draining (fake_peers_membership (peers, 4), fake_peers_now (peers),
+                                    &actions);
   LB_LIST_FOREACH (&actions, LcMembershipAction, link_in_list, action)
   {
     lb_list_remove (&actions, &action->link_in_list);
--- a/packages/core/tests/test-roster.c
+++ b/packages/core/tests/test-roster.c
@@ -37,7 +37,7 @@
 {
   int count = 0;
 
-  for (size_t i = 0; i < lc_roster_count (roster); i++)
+  for (size_t i = 0; i < lc_roster_count_endpoints (roster); i++)
     count += strcmp (lc_roster_assigned_model (roster, i), model) == 0;
   return count;
 }
@@ -55,16 +55,16 @@
   cr_assert (lc_roster_apply_list (roster, list, N_ENGINES, now, now));
   now += 4 * LB_SEC;
   lc_roster_apply_list (roster, list, 0, now, now);
-  cr_assert_eq (lc_roster_count (roster), N_ENGINES);
+  cr_assert_eq (lc_roster_count_endpoints (roster), N_ENGINES);
   now += 400 * LB_MSEC;
   lc_roster_apply_list (roster, list, 4, now, now);
-  cr_assert_eq (lc_roster_count (roster), N_ENGINES);
+  cr_assert_eq (lc_roster_count_endpoints (roster), N_ENGINES);
   for (int i = 0; i < 6; i++)
     {
       now += 400 * LB_MSEC;
       lc_roster_apply_list (roster, list, 4, now, now);
     }
-  cr_assert_eq (lc_roster_count (roster), 4,
+  cr_assert_eq (lc_roster_count_endpoints (roster), 4,
                 "expected unlisted endpoints to be removed after the grace period");
   lc_roster_free (roster);
 }
@@ -78,7 +78,7 @@
   fill_engine_registrations (list, N_ENGINES);
   lc_roster_apply_list (roster, list, N_ENGINES, LB_SEC, LB_SEC);
   cr_assert (lc_roster_apply_list (roster, list, N_ENGINES - 1, 1400 * LB_MSEC, 1400 * LB_MSEC));
-  cr_assert_eq (lc_roster_count (roster), N_ENGINES - 1);
+  cr_assert_eq (lc_roster_count_endpoints (roster), N_ENGINES - 1);
   lc_roster_free (roster);
 }
 
@@ -184,10 +184,10 @@
   for (size_t i = 0; i < 7; i++)
     list[i] = make_engine_registration (order[i]);
   cr_assert (lc_roster_apply_list (roster, list, 7, now, now));
-  cr_assert_eq (lc_roster_count (roster), 5);
+  cr_assert_eq (lc_roster_count_endpoints (roster), 5);
   fill_engine_registrations (list, N_ENGINES);
   cr_assert (lc_roster_apply_list (roster, list, N_ENGINES, now + LB_SEC, now + LB_SEC));
-  cr_assert_eq (lc_roster_count (roster), N_ENGINES);
+  cr_assert_eq (lc_roster_count_endpoints (roster), N_ENGINES);
   cr_assert_not (
       lc_roster_apply_list (roster, list, N_ENGINES, now + 2 * LB_SEC, now + 2 * LB_SEC));
   lc_roster_free (roster);
@@ -231,9 +231,9 @@
   now += 4 * LB_SEC;
   LB_COPY (list[3].name, "i-3@2");
   cr_assert (lc_roster_apply_list (roster, list, 4, now, now));
-  cr_assert_eq (lc_roster_count (roster), N_ENGINES,
+  cr_assert_eq (lc_roster_count_endpoints (roster), N_ENGINES,
                 "expected expired registrations to be kept for the grace period");
-  for (size_t i = 0; i < lc_roster_count (roster); i++)
+  for (size_t i = 0; i < lc_roster_count_endpoints (roster); i++)
     cr_assert_str_neq (lc_roster_registration (roster, i)->name, "i-3");
   lc_roster_free (roster);
 }
@@ -258,7 +258,7 @@
       lc_roster_set_engine_plan (roster, &plan);
       LB_COPY (list[3].name, "i-3@2");
       cr_assert (lc_roster_apply_list (roster, list, N_ENGINES, 2 * LB_SEC, 2 * LB_SEC));
-      for (size_t at = 0; at < lc_roster_count (roster); at++)
+      for (size_t at = 0; at < lc_roster_count_endpoints (roster); at++)
         if (strcmp (lc_roster_registration (roster, at)->name, "i-3@2") == 0)
           {
             cr_assert_str_eq (lc_roster_assigned_model (roster, at), pools[i]);
@@ -281,12 +281,12 @@
   fill_engine_registrations (list, N_ENGINES);
   lc_roster_apply_list (roster, list, N_ENGINES, LB_SEC, LB_SEC);
   lc_roster_apply_list (roster, list, N_ENGINES - 1, now, now);
-  cr_assert_eq (lc_roster_count (roster), N_ENGINES);
+  cr_assert_eq (lc_roster_count_endpoints (roster), N_ENGINES);
   for (int i = 1; i < 6; i++)
     cr_assert_not (
-        lc_roster_confirm_list (roster, now + i * 400 * LB_MSEC, now + i * 400 * LB_MSEC));
-  cr_assert (lc_roster_confirm_list (roster, now + 3 * LB_SEC, now + 3 * LB_SEC));
-  cr_assert_eq (lc_roster_count (roster), N_ENGINES - 1);
+        lc_roster_record_unchanged_list (roster, now + i * 400 * LB_MSEC, now + i * 400 * LB_MSEC));
+  cr_assert (lc_roster_record_unchanged_list (roster, now + 3 * LB_SEC, now + 3 * LB_SEC));
+  cr_assert_eq (lc_roster_count_endpoints (roster), N_ENGINES - 1);
   lc_roster_free (roster);
 }
 
@@ -321,7 +321,7 @@
   list[0].leaving = true;
   cr_assert (lc_roster_apply_list (roster, list, N_LARGE_SITE_ENGINES, 2, 2));
   cr_assert_lt (read_processor_seconds () - started_at, MAX_PROCESSOR_SECONDS);
-  cr_assert_eq (lc_roster_count (roster), N_LARGE_SITE_ENGINES);
+  cr_assert_eq (lc_roster_count_endpoints (roster), N_LARGE_SITE_ENGINES);
   cr_assert_eq (count_engines_of_model (roster, "reader"), N_LARGE_SITE_ENGINES / 2);
   free (list);
   lc_roster_free (roster);
@@ -336,8 +336,8 @@
           make_engine_registration (3), make_engine_registration (3) };
 
   lc_roster_apply_list (roster, list, 3, 1, 1);
-  cr_assert_eq (lc_roster_count (roster), 2);
+  cr_assert_eq (lc_roster_count_endpoints (roster), 2);
   lc_roster_apply_list (roster, list, 5, 2, 2);
-  cr_assert_eq (lc_roster_count (roster), 3);
+  cr_assert_eq (lc_roster_count_endpoints (roster), 3);
   lc_roster_free (roster);
 }
--- a/packages/core/tests/test-router.c
+++ b/packages/core/tests/test-router.c
@@ -3,7 +3,7 @@
 static LcRouteDecision
 choose_endpoint (LcRouter *router, Fixture *f, const LcRouteQuery *query, LbTime now)
 {
-  return lc_router_choose (router, f->endpoints, query, now);
+  return lc_router_choose_endpoint (router, f->endpoints, query, now);
 }
 
 /* Calls check for each policy with a new router. */
@@ -133,7 +133,7 @@
             .incarnation = "a", .version = 1, .running = i == 0 ? 1 : 4, .measured_at = LB_SEC
           };
 
-          lc_endpoints_record_load (f.endpoints, f.members[i].name, &report, 2 * LB_SEC);
+          lc_endpoints_record_load_report (f.endpoints, f.members[i].name, &report, 2 * LB_SEC);
         }
       n_at_e0
           += strcmp (choose_endpoint (router, &f, &query, 2 * LB_SEC).endpoint->member.name, "e0")
@@ -189,7 +189,7 @@
   for (int i = 0; i < 5; i++)
     lc_endpoint_request_sent (fixture_find_endpoint (&f, "e1"), LC_KIND_LIVE, 0, 2);
   cr_assert_str_eq (choose_engine_for_prefix (&f, 0, 3), "e0");
-  lc_endpoints_set_weight_swap (f.endpoints, "e0", true, 30 * LB_SEC, 3);
+  lc_endpoints_set_weight_swap_state (f.endpoints, "e0", true, 30 * LB_SEC, 3);
   cr_assert_str_eq (choose_engine_for_prefix (&f, 0, 4), "e1");
   fixture_clear (&f);
 }
@@ -209,7 +209,7 @@
         LcLoadReport report
             = { .incarnation = "a", .version = 1, .running = 5, .measured_at = now };
 
-        lc_endpoints_record_load (f.endpoints, f.members[i].name, &report, now);
+        lc_endpoints_record_load_report (f.endpoints, f.members[i].name, &report, now);
       }
   for (uint64_t prompt = 1; prompt < 50; prompt++)
     cr_assert_str_neq (choose_engine_for_prefix (&f, prompt, 8 * LB_SEC), "e0");
@@ -240,7 +240,7 @@
     {
       LcLoadReport listed
           = { .incarnation = "a", .is_from_registry = true, .measured_at = now + LB_SEC };
-      lc_endpoints_record_load (f.endpoints, f.members[i].name, &listed, now + LB_SEC);
+      lc_endpoints_record_load_report (f.endpoints, f.members[i].name, &listed, now + LB_SEC);
     }
   for (int i = 0; i < 40; i++)
     cr_assert_str_eq (choose_endpoint (router, &f, &query, now + LB_SEC).endpoint->member.name,
--- a/packages/core/tests/test-scaling.c
+++ b/packages/core/tests/test-scaling.c
@@ -72,7 +72,7 @@
     {
       if (strcmp (order.data_centre, data_centre) == 0)
         found = order.endpoints;
-      lc_scaling_finish_order (fixture->scaling, &order, outcome, fixture->now);
+      lc_scaling_record_order_outcome (fixture->scaling, &order, outcome, fixture->now);
     }
   return found;
 }
@@ -131,7 +131,7 @@
   cr_assert (
       lc_scaling_next_order (fixture.scaling, fixture.desired, &fixture.set, fixture.now, &order));
   cr_assert_str_eq (order.data_centre, "a");
-  lc_scaling_finish_order (fixture.scaling, &order, LC_SCALING_REFUSED, fixture.now);
+  lc_scaling_record_order_outcome (fixture.scaling, &order, LC_SCALING_REFUSED, fixture.now);
   fixture.now += LB_SEC;
   cr_assert_eq (finish_due_orders (&fixture, "c", LC_SCALING_ACCEPTED), 5);
   fixture.now += 5 * LB_SEC;
--- a/packages/core/tests/test-stream-pace.c
+++ b/packages/core/tests/test-stream-pace.c
@@ -59,8 +59,9 @@
   int n = 0;
 
   for (int i = 0; i < 40; i++)
-    n += strcmp (lc_router_choose (router, f->endpoints, &query, now).endpoint->member.name,
-                 endpoint)
+    n += strcmp (
+             lc_router_choose_endpoint (router, f->endpoints, &query, now).endpoint->member.name,
+             endpoint)
          == 0;
   lc_router_free (router);
   return n;
@@ -95,7 +96,7 @@
 choose_endpoint (Fixture *f, const LcRouteQuery *query, LbTime now)
 {
   LcRouter *router = lc_router_new ("lentilspindle", 7);
-  LcRouteDecision decision = lc_router_choose (router, f->endpoints, query, now);
+  LcRouteDecision decision = lc_router_choose_endpoint (router, f->endpoints, query, now);
 
   lc_router_free (router);
   return decision.endpoint ? decision.endpoint->member.name : "";
--- a/packages/core/tests/test-subset.c
+++ b/packages/core/tests/test-subset.c
@@ -95,8 +95,8 @@
 {
   LcSubset *subset = lc_subset_new ();
 
-  lc_subset_expect_service (subset, "plain");
-  lc_subset_expect_service (subset, "engines");
+  lc_subset_add_required_service (subset, "plain");
+  lc_subset_add_required_service (subset, "engines");
   return subset;
 }
 
@@ -151,7 +151,7 @@
   table_init (&table, 3000);
   for (size_t i = 2900; i < 3000; i++)
     table.rows[i].columns = (LcSubsetRow){ .service = "last", .slots = 1 };
-  lc_subset_expect_service (subset, "last");
+  lc_subset_add_required_service (subset, "last");
   read_table_page_by_page (subset, &table);
   read_table_page_by_page (subset, &table);
   cr_assert_eq (count_service_endpoints_in_subset (&table, "last"), LC_SUBSET_MIN_ENDPOINTS);
@@ -241,8 +241,8 @@
 
   table_init (&table, 10000);
   read_table_page_by_page (subset, &table);
-  lc_subset_grow (subset, "plain", now);
-  lc_subset_grow (subset, "plain", now + LB_SEC);
+  lc_subset_grow_for_service (subset, "plain", now);
+  lc_subset_grow_for_service (subset, "plain", now + LB_SEC);
   read_table_page_by_page (subset, &table);
   size_t n_in_subset = count_service_endpoints_in_subset (&table, "plain");
   cr_assert_geq (n_in_subset, LC_SUBSET_MIN_ENDPOINTS * 3 / 2 - 1);
@@ -250,7 +250,7 @@
                  "the subset must grow at most once every few seconds");
   for (int i = 1; i <= 10; i++)
     {
-      lc_subset_grow (subset, "plain", now + i * 4 * LB_SEC);
+      lc_subset_grow_for_service (subset, "plain", now + i * 4 * LB_SEC);
       read_table_page_by_page (subset, &table);
     }
   cr_assert_geq (count_service_endpoints_in_subset (&table, "plain"), 1900);
@@ -290,7 +290,7 @@
   size_t n_multi_page_lists = 0;
 
   table_init (&table, 10000);
-  lc_subset_expect_service (subset, "absent");
+  lc_subset_add_required_service (subset, "absent");
   for (int i = 0; i < 30; i++)
     {
       read_table_page_by_page (subset, &table);
@@ -317,7 +317,7 @@
   read_table_page_by_page (subset, &table);
   for (int i = 1; i <= 200; i++)
     {
-      lc_subset_grow (subset, "plain", now + i * 4 * LB_SEC);
+      lc_subset_grow_for_service (subset, "plain", now + i * 4 * LB_SEC);
       read_table_page_by_page (subset, &table);
     }
   cr_assert_eq (count_service_endpoints_in_subset (&table, "plain"), 2000);
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -69,7 +69,7 @@
   report.version = version;
   report.measured_at = lb_clock_monotonic ();
   report.running = endpoint->in_flight;
-  lc_endpoints_record_load (endpoints, endpoint->member.name, &report, report.measured_at);
+  lc_endpoints_record_load_report (endpoints, endpoint->member.name, &report, report.measured_at);
 }
 
 static void
@@ -167,8 +167,8 @@
   if (call->kind != LN_CALL_SAMPLE)
     lc_utilisation_add_report (calls->utilisation, endpoint->member.service,
                                load.running + load.waiting, endpoint->member.concurrency);
-  lc_endpoints_record_load (lc_dispatch_get_endpoints (calls->dispatch), endpoint->member.name,
-                            &report, report.measured_at);
+  lc_endpoints_record_load_report (lc_dispatch_get_endpoints (calls->dispatch),
+                                   endpoint->member.name, &report, report.measured_at);
 }
 
 /* Counts the call once in its organisation's usage, at the start of its first attempt that was not
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -90,11 +90,11 @@
 
   lb_list_init (&actions);
   if (message->withdrawn)
-    lc_endpoints_clear_platform_leaving (lc_dispatch_get_endpoints (calls->dispatch),
-                                         message->endpoint, lb_clock_monotonic ());
+    lc_endpoints_clear_platform_leaving_mark (lc_dispatch_get_endpoints (calls->dispatch),
+                                              message->endpoint, lb_clock_monotonic ());
   else
-    lc_dispatch_mark_leaving (calls->dispatch, message->endpoint, message->incarnation,
-                              message->source, lb_clock_monotonic (), &actions);
+    lc_dispatch_mark_endpoint_leaving (calls->dispatch, message->endpoint, message->incarnation,
+                                       message->source, lb_clock_monotonic (), &actions);
   ln_calls_perform_actions (calls, &actions);
   ln_calls_broadcast_endpoint_leaving (calls, message->endpoint);
 }
@@ -124,8 +124,8 @@
   LB_COPY (report.incarnation, message->endpoint);
   report.running = endpoint->in_flight;
   lb_list_init (&actions);
-  lc_dispatch_record_load (calls->dispatch, message->endpoint, &report, report.measured_at,
-                           &actions);
+  lc_dispatch_record_load_report (calls->dispatch, message->endpoint, &report, report.measured_at,
+                                  &actions);
   ln_calls_perform_actions (calls, &actions);
 }
 
@@ -168,7 +168,8 @@
   LbList actions;
 
   lb_list_init (&actions);
-  lc_dispatch_record_load (calls->dispatch, endpoint, report, lb_clock_monotonic (), &actions);
+  lc_dispatch_record_load_report (calls->dispatch, endpoint, report, lb_clock_monotonic (),
+                                  &actions);
   ln_calls_perform_actions (calls, &actions);
   ln_calls_broadcast_endpoint_leaving (calls, endpoint);
   LB_COPY (message.endpoint, endpoint);
@@ -247,8 +248,9 @@
       break;
     case LN_ENDPOINT_SWAP:
       swap = (const LnEndpointSwapMessage *)message;
-      lc_endpoints_set_weight_swap (lc_dispatch_get_endpoints (calls->dispatch), swap->endpoint,
-                                    swap->pending, swap->until, lb_clock_monotonic ());
+      lc_endpoints_set_weight_swap_state (lc_dispatch_get_endpoints (calls->dispatch),
+                                          swap->endpoint, swap->pending, swap->until,
+                                          lb_clock_monotonic ());
       break;
     default:
       break;
@@ -329,12 +331,13 @@
 static void
 update_gauges (const LnCalls *calls)
 {
-  lb_metric_set (&in_progress, (int64_t)lc_dispatch_count_in_progress (calls->dispatch));
-  lb_metric_set (&waiting_live, (int64_t)lc_dispatch_count_waiting (calls->dispatch, LC_KIND_LIVE));
+  lb_metric_set (&in_progress, (int64_t)lc_dispatch_count_requests_in_progress (calls->dispatch));
+  lb_metric_set (&waiting_live,
+                 (int64_t)lc_dispatch_count_waiting_requests (calls->dispatch, LC_KIND_LIVE));
   lb_metric_set (&waiting_samples,
-                 (int64_t)lc_dispatch_count_waiting (calls->dispatch, LC_KIND_SAMPLE));
+                 (int64_t)lc_dispatch_count_waiting_requests (calls->dispatch, LC_KIND_SAMPLE));
   lb_metric_set (&waiting_service,
-                 (int64_t)lc_dispatch_count_waiting (calls->dispatch, LC_KIND_SERVICE));
+                 (int64_t)lc_dispatch_count_waiting_requests (calls->dispatch, LC_KIND_SERVICE));
   lb_metric_set (&invariant_failures,
                  (int64_t)lc_dispatch_count_invariant_failures (calls->dispatch));
 }
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -83,7 +83,7 @@
     return;
   task->posted_ready = true;
   lb_log (LB_LOG_INFO, "ready", LB_INT ("desired", task->desired->version),
-          LB_INT ("endpoints", lc_roster_count (task->roster)));
+          LB_INT ("endpoints", lc_roster_count_endpoints (task->roster)));
   LN_POST (task->task.hub, NULL, message);
 }
 
@@ -221,7 +221,7 @@
 {
   LnTask *calls = ln_hub_find_task (task->task.hub, "calls");
 
-  for (size_t i = 0; calls && i < lc_roster_count (task->roster); i++)
+  for (size_t i = 0; calls && i < lc_roster_count_endpoints (task->roster); i++)
     {
       LnEndpointListedMessage message
           = { .base = LN_MESSAGE (LN_ENDPOINT_LISTED),
@@ -281,7 +281,7 @@
       return;
     }
   post_endpoint_list_applied (task, ln_catalog_publisher_name (task->catalog), valid_at);
-  if (lc_roster_confirm_list (task->roster, valid_at, now))
+  if (lc_roster_record_unchanged_list (task->roster, valid_at, now))
     post_endpoint_resources (task);
   post_listed_endpoints (task);
 }
@@ -366,7 +366,8 @@
 {
   DesiredTask *task = user;
 
-  lc_subset_grow (ln_endpoint_list_subset (task->endpoint_list), service, lb_clock_monotonic ());
+  lc_subset_grow_for_service (ln_endpoint_list_subset (task->endpoint_list), service,
+                              lb_clock_monotonic ());
 }
 
 static void
@@ -416,7 +417,7 @@
   ln_stall_set_activity ("tick of config");
   lp_follow_tick (task->operator_rows, now);
   post_desired_confirmed (task);
-  ln_catalog_tick (task->catalog, lc_roster_count (task->roster), now);
+  ln_catalog_tick (task->catalog, lc_roster_count_endpoints (task->roster), now);
   post_catalog_followed (task, now);
   bool is_listing = ln_endpoint_list_is_in_progress (task->endpoint_list);
   if (!is_listing && now >= task->next_list_at && must_list_endpoints (task, now))
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -107,8 +107,8 @@
   if (outcome == LN_DUTY_REFUSED)
     ln_duty_lease_request_read (scaler->lease, now);
   if (call->duty_epoch == scaler->duty_epoch)
-    lc_scaling_finish_order (scaler->scaling, &call->order, convert_to_scaling_outcome (outcome),
-                             now);
+    lc_scaling_record_order_outcome (scaler->scaling, &call->order,
+                                     convert_to_scaling_outcome (outcome), now);
   free (call);
 }
 
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -73,9 +73,9 @@
 {
   lc_desired_unref (list->desired);
   list->desired = lc_desired_ref (desired);
-  lc_subset_clear_expected_services (list->subset);
+  lc_subset_clear_required_services (list->subset);
   for (size_t i = 0; i < desired->n_services; i++)
-    lc_subset_expect_service (list->subset, desired->services[i].name);
+    lc_subset_add_required_service (list->subset, desired->services[i].name);
 }
 
 /* Parses the row, and rejects an endpoint whose service is not in the desired state: no route leads
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -159,7 +159,7 @@
 read_rows_with_prefix (const LnCatalog *catalog, const char *prefix, RowReader *reader)
 {
   ln_row_cache_begin_list (reader->cache);
-  lc_catalog_foreach (catalog->catalog, prefix, append_parsed_row, reader);
+  lc_catalog_foreach_row (catalog->catalog, prefix, append_parsed_row, reader);
   ln_row_cache_end_list (reader->cache);
 }
 
@@ -422,7 +422,7 @@
   free (catalog->members);
   catalog->members = lb_memdup (members, n_members * sizeof *members);
   catalog->n_members = n_members;
-  lc_catalog_set_own_period (catalog->catalog, choose_publish_period (catalog));
+  lc_catalog_set_listing_period (catalog->catalog, choose_publish_period (catalog));
   catalog->is_rank_cached = false;
   if (catalog->has_had_many_endpoints && catalog->rank >= 0)
     update_instance_listing (catalog);
@@ -530,7 +530,7 @@
 void
 ln_catalog_apply_subset_bounds (const LnCatalog *catalog, LcSubset *subset)
 {
-  lc_catalog_foreach (catalog->catalog, BOUND_PREFIX, apply_subset_bound, subset);
+  lc_catalog_foreach_row (catalog->catalog, BOUND_PREFIX, apply_subset_bound, subset);
 }
 
 bool
@@ -548,7 +548,7 @@
 LbTime
 ln_catalog_publish_period (const LnCatalog *catalog)
 {
-  return lc_catalog_publish_period (catalog->catalog);
+  return lc_catalog_publisher_listing_period (catalog->catalog);
 }
 
 bool
--- a/packages/node/src/membership/ln-peers-load.c
+++ b/packages/node/src/membership/ln-peers-load.c
@@ -25,7 +25,7 @@
   LbTime elapsed = now - peers->next_load_at + LOAD_PERIOD;
   int64_t load = (cpu_time - peers->cpu_time_used) * 1000 / elapsed;
   if (peers->next_load_at > 0)
-    lc_membership_set_load (peers->membership, load, now, &peers->actions);
+    lc_membership_set_self_load (peers->membership, load, now, &peers->actions);
   peers->cpu_time_used = cpu_time;
   peers->next_load_at = now + LOAD_PERIOD;
 }
--- a/packages/node/src/membership/ln-peers.c
+++ b/packages/node/src/membership/ln-peers.c
@@ -83,7 +83,7 @@
 
   if (!peers->membership)
     return;
-  lc_membership_set_draining (peers->membership, lb_clock_monotonic (), &peers->actions);
+  lc_membership_mark_self_draining (peers->membership, lb_clock_monotonic (), &peers->actions);
   ln_peers_run_membership_actions (peers);
 }
 
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -284,12 +284,12 @@
 static void
 divide_engines (LnEnginePlans *plans, const LcRoster *roster, LbTime now)
 {
-  LcPlanEntry *engines = LB_NEW_ARRAY (LcPlanEntry, lc_roster_count (roster) + 1);
+  LcPlanEntry *engines = LB_NEW_ARRAY (LcPlanEntry, lc_roster_count_endpoints (roster) + 1);
   LbName models[LC_MAX_MODELS];
   size_t n_engines = 0;
   size_t n_models = 0;
 
-  for (size_t i = 0; i < lc_roster_count (roster); i++)
+  for (size_t i = 0; i < lc_roster_count_endpoints (roster); i++)
     {
       const LcRegistration *registration = lc_roster_registration (roster, i);
       if (registration->n_models == 0 || registration->leaving)
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -282,7 +282,7 @@
                                       LbTime requested_at,
                                       LbTime now)
 {
-  for (size_t i = 0; i < lc_roster_count (roster); i++)
+  for (size_t i = 0; i < lc_roster_count_endpoints (roster); i++)
     {
       const LcRegistration *registration = lc_roster_registration (roster, i);
       Engine *engine = find_engine (orders, registration->name);
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -895,8 +895,8 @@
 on_drain_check (LxInstance *instance, void *argument)
 {
   LxWorld *world = instance->world;
-  bool is_idle = lc_dispatch_count_in_progress (instance->dispatch) == 0
-                 && lc_dispatch_count_waiting (instance->dispatch, LC_KIND_LIVE) == 0
+  bool is_idle = lc_dispatch_count_requests_in_progress (instance->dispatch) == 0
+                 && lc_dispatch_count_waiting_requests (instance->dispatch, LC_KIND_LIVE) == 0
                  && lc_rollouts_count_in_progress (instance->rollouts) == 0;
 
   (void)argument;
@@ -1043,8 +1043,8 @@
 lx_instance_record_load_report (LxInstance *instance, size_t engine, const LcLoadReport *report)
 {
   pass_new_cache_events_to_dispatch (instance, engine);
-  lc_dispatch_record_load (instance->dispatch, instance->world->engines[engine]->name, report,
-                           current_time (instance), &instance->dispatch_actions);
+  lc_dispatch_record_load_report (instance->dispatch, instance->world->engines[engine]->name,
+                                  report, current_time (instance), &instance->dispatch_actions);
   execute_pending_actions (instance);
 }
 
@@ -1096,9 +1096,9 @@
 void
 lx_instance_set_weight_swap (LxInstance *instance, size_t engine, bool pending, LbTime until)
 {
-  lc_endpoints_set_weight_swap (lc_dispatch_get_endpoints (instance->dispatch),
-                                instance->world->engines[engine]->name, pending, until,
-                                current_time (instance));
+  lc_endpoints_set_weight_swap_state (lc_dispatch_get_endpoints (instance->dispatch),
+                                      instance->world->engines[engine]->name, pending, until,
+                                      current_time (instance));
 }
 
 void
