--- a/packages/core/include/lc-dispatch.h
+++ b/packages/core/include/lc-dispatch.h
@@ -25,9 +25,10 @@
   LcDelivery delivery;
   LbName pool;   /* pool or service name */
   LbName caller; /* client or subscription; each has its own retry budget */
-  /* flow in fair queueing, which may combine several callers; empty: the caller */
+  /* name of the request's flow in fair queueing, which may combine several callers; empty: the
+   * caller's name is used */
   LbName flow;
-  double share;    /* weight in fair queueing among requests of the kind; 0 means 1 */
+  double share;    /* weight of the flow in fair queueing among flows of the same kind; 0 means 1 */
   bool repeatable; /* the request may be executed more than once */
   bool resumable;  /* another endpoint may continue a broken stream at its last offset */
   /* LC_END_FAILED is not retried: the submitter counts such failures itself */
@@ -166,7 +167,8 @@
 void lc_action_free (LcAction *action);
 
 /* Functions that give access to the state of an LcDispatch and append no actions. */
-/* Whether the current configuration contains the plain service. */
+/* Whether the current configuration contains a plain service (not a pool of engines) of this name.
+ */
 bool lc_dispatch_has_service (const LcDispatch *dispatch, const char *service);
 LbTime lc_dispatch_next_tick (const LcDispatch *dispatch);
 size_t lc_dispatch_count_requests_in_progress (const LcDispatch *dispatch);
--- a/packages/core/src/dispatch/lc-candidates.c
+++ b/packages/core/src/dispatch/lc-candidates.c
@@ -75,7 +75,7 @@
  * three engines four times slower, steps took 10.5 s instead of 8 s. The wait is bounded by the
  * time that the fast engine saves. */
 static bool
-is_too_slow (const DecisionInputs *inputs, const LcEndpointSummary *summary)
+is_engine_too_slow (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
   const LcRouteQuery *query = inputs->query;
   double token_seconds = (double)summary->single_stream_token_seconds;
@@ -93,10 +93,10 @@
 }
 
 static void
-filter_endpoint (LcCandidates *candidates,
-                 const LcEndpointSummary *summary,
-                 const DecisionInputs *inputs,
-                 FilterCounts *counts)
+add_candidate_or_count_exclusion (LcCandidates *candidates,
+                                  const LcEndpointSummary *summary,
+                                  const DecisionInputs *inputs,
+                                  FilterCounts *counts)
 {
   const LcRouteQuery *query = inputs->query;
 
@@ -109,7 +109,7 @@
     counts->outdated_reports++;
   else if (inputs->strict && query->n_avoid > 0 && is_avoided (query, summary->endpoint))
     counts->avoided++;
-  else if (inputs->strict && is_too_slow (inputs, summary))
+  else if (inputs->strict && is_engine_too_slow (inputs, summary))
     counts->too_slow++;
   else
     {
@@ -138,15 +138,16 @@
 }
 
 static void
-filter_group_endpoints (LcCandidates *candidates,
-                        const LcEndpoints *endpoints,
-                        const LcEndpointGroup *group,
-                        const DecisionInputs *inputs,
-                        FilterCounts *counts)
+gather_group_candidates (LcCandidates *candidates,
+                         const LcEndpoints *endpoints,
+                         const LcEndpointGroup *group,
+                         const DecisionInputs *inputs,
+                         FilterCounts *counts)
 {
   candidates->n_items = 0;
   for (size_t i = 0; group && i < group->n_slots; i++)
-    filter_endpoint (candidates, &endpoints->summaries[group->slots[i]], inputs, counts);
+    add_candidate_or_count_exclusion (candidates, &endpoints->summaries[group->slots[i]], inputs,
+                                      counts);
 }
 
 void
@@ -166,18 +167,18 @@
   FilterCounts counts = { 0 };
 
   ensure_capacity (candidates, group ? group->n_slots : 0);
-  filter_group_endpoints (candidates, endpoints, group, &inputs, &counts);
+  gather_group_candidates (candidates, endpoints, group, &inputs, &counts);
   candidates->reason = candidates->n_items > 0 ? NULL : reason_without_candidates (&counts);
   if (query->kind != LC_KIND_SAMPLE || counts.eligible > 0 || counts.avoided + counts.too_slow == 0)
     return;
   /* If only avoided or slow engines remain, a sample gains nothing by waiting: it may use them. */
   inputs.strict = false;
-  filter_group_endpoints (candidates, endpoints, group, &inputs, &counts);
+  gather_group_candidates (candidates, endpoints, group, &inputs, &counts);
   candidates->reason = candidates->n_items > 0 ? NULL : "no-capacity";
 }
 
 static void
-insert_shown_candidate (LcRouteDecision *decision, const LcCandidate *candidate)
+insert_if_among_lowest_scores (LcRouteDecision *decision, const LcCandidate *candidate)
 {
   size_t index = decision->n_shown;
 
@@ -200,7 +201,7 @@
                                .n_candidates = candidates->n_items };
 
   for (size_t i = 0; i < candidates->n_items; i++)
-    insert_shown_candidate (&decision, &candidates->items[i]);
+    insert_if_among_lowest_scores (&decision, &candidates->items[i]);
   return decision;
 }
 
--- a/packages/core/src/dispatch/lc-dispatch-private.h
+++ b/packages/core/src/dispatch/lc-dispatch-private.h
@@ -23,7 +23,8 @@
   uint64_t last_sequence; /* LcQueueEntry.sequence of the last admitted request */
   uint64_t invariant_failures;
   bool draining;
-  bool forbid_cancel; /* set while a function runs that must not cancel attempts */
+  bool forbid_cancel; /* set while the configuration, a load report or a leaving mark is applied:
+                         none of these may cancel an attempt */
 };
 
 static inline LcPoolKind
--- a/packages/core/src/dispatch/lc-dispatch.c
+++ b/packages/core/src/dispatch/lc-dispatch.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define DEFAULT_POLICY "lentilspindle"
-#define DEFAULT_MAX_REPORT_AGE (2500 * LB_MSEC)
+#define DEFAULT_ROUTING_POLICY "lentilspindle"
+#define DEFAULT_MAX_LOAD_REPORT_AGE (2500 * LB_MSEC)
 #define DEFAULT_QUEUE_LIMIT 4096
 #define DRAIN_RETRY_AFTER (100 * LB_MSEC)
 
@@ -29,7 +29,7 @@
 LcDispatch *
 lc_dispatch_new (const LcDispatchSettings *settings)
 {
-  const char *policy = settings->policy[0] ? settings->policy : DEFAULT_POLICY;
+  const char *policy = settings->policy[0] ? settings->policy : DEFAULT_ROUTING_POLICY;
   LcRouter *router = lc_router_new (policy, settings->seed);
 
   if (!router)
@@ -39,7 +39,7 @@
 
   dispatch->settings = *settings;
   if (settings->max_report_age == 0)
-    dispatch->settings.max_report_age = DEFAULT_MAX_REPORT_AGE;
+    dispatch->settings.max_report_age = DEFAULT_MAX_LOAD_REPORT_AGE;
   dispatch->router = router;
   dispatch->endpoints = lc_endpoints_new ();
   dispatch->budgets = lc_retry_budgets_new (settings->retry_budget);
--- a/packages/core/src/dispatch/lc-heap.c
+++ b/packages/core/src/dispatch/lc-heap.c
@@ -4,7 +4,7 @@
 
 #include <stdlib.h>
 
-#define INITIAL_CAPACITY 4
+#define INITIAL_NODE_CAPACITY 4
 
 void
 lc_heap_init (LcHeap *heap, LcHeapBefore before)
@@ -64,7 +64,7 @@
 {
   if (heap->length == heap->capacity)
     {
-      heap->capacity = heap->capacity ? heap->capacity * 2 : INITIAL_CAPACITY;
+      heap->capacity = heap->capacity ? heap->capacity * 2 : INITIAL_NODE_CAPACITY;
       heap->nodes = lb_realloc (heap->nodes, heap->capacity * sizeof *heap->nodes);
     }
   heap->length++;
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -71,7 +71,7 @@
 /* Records the attempt's result in the statistics of its endpoint and pool, and frees the
  * attempt. */
 static void
-close_attempt (
+record_result_and_free_attempt (
     LcDispatch *dispatch, LcRequest *request, LcAttempt *attempt, AttemptResult result, LbTime now)
 {
   LcEndpoint *endpoint = lc_endpoints_find (dispatch->endpoints, attempt->endpoint);
@@ -107,7 +107,7 @@
 /* Counts the time since the last piece of a cancelled stream as time without tokens. This lowers
  * the measured pace of a stalled engine, so that further samples avoid it. */
 static void
-record_stall (LcDispatch *dispatch, const LcAttempt *attempt, LbTime now)
+record_stream_stall (LcDispatch *dispatch, const LcAttempt *attempt, LbTime now)
 {
   LcEndpoint *endpoint = lc_endpoints_find (dispatch->endpoints, attempt->endpoint);
 
@@ -126,8 +126,8 @@
   action->attempt = attempt->number;
   LB_COPY (action->endpoint, attempt->endpoint);
   request->may_have_run = true;
-  record_stall (dispatch, attempt, now);
-  close_attempt (dispatch, request, attempt, result, now);
+  record_stream_stall (dispatch, attempt, now);
+  record_result_and_free_attempt (dispatch, request, attempt, result, now);
 }
 
 static void
@@ -233,7 +233,7 @@
   lc_retry_budgets_credit_success (dispatch->budgets, request->caller);
   lc_retry_budgets_credit_success (dispatch->budgets, endpoint);
   attempt->is_complete = true;
-  close_attempt (dispatch, request, attempt, RESULT_SUCCEEDED, now);
+  record_result_and_free_attempt (dispatch, request, attempt, RESULT_SUCCEEDED, now);
   cancel_and_unlink_request (dispatch, request, now, actions);
 
   LcAction *action = lc_action_new (LC_ACTION_FINISH, request->id, actions);
@@ -246,7 +246,7 @@
 
 /* Whether this end of an attempt proves that the endpoint did not run the request. */
 static bool
-proves_not_run (LcAttemptEnd end)
+proves_request_not_run (LcAttemptEnd end)
 {
   return end == LC_END_REFUSED || end == LC_END_REFUSED_LEAVING || end == LC_END_NOT_SENT;
 }
@@ -359,7 +359,7 @@
   return end == LC_END_COMPLETE || end == LC_END_REJECTED || end == LC_END_FAILED;
 }
 
-/* Handles the end of an attempt: finishes, retries or fails the request, or waits for its other
+/* Ends an attempt: finishes, retries or fails its request, or leaves the request to its other
  * attempt. */
 void
 lc_dispatch_end_attempt (LcDispatch *dispatch,
@@ -377,7 +377,7 @@
       return;
     }
   request->n_not_sent += end == LC_END_NOT_SENT;
-  if (!proves_not_run (end))
+  if (!proves_request_not_run (end))
     {
       request->may_have_run = true;
       request->n_consecutive_lost
@@ -386,17 +386,17 @@
   bool resumed = does_stream_resume (request, attempt, end);
 
   lc_request_add_tried_endpoint (request, attempt->endpoint);
-  close_attempt (dispatch, request, attempt, attempt_result_of (end), now);
+  record_result_and_free_attempt (dispatch, request, attempt, attempt_result_of (end), now);
   request->last_error = error_without_retry (request, end);
   if (lb_list_is_empty (&request->attempts))
     {
       retry_or_fail_request (dispatch, request, end, resumed, now, actions);
       return;
     }
-  /* Allows another hedge if this attempt never ran. Otherwise, when a hedge could not connect while
-   * the first attempt hung at an unresponsive endpoint, the caller waited until its deadline
+  /* Allows another hedge if this attempt never ran. Without this, when a hedge could not connect
+   * while the first attempt hung at an unresponsive endpoint, the caller waited until its deadline
    * although other endpoints were idle. */
-  if (proves_not_run (end))
+  if (proves_request_not_run (end))
     request->hedged = false;
   lc_dispatch_reschedule_request_timer (dispatch, request);
 }
--- a/packages/core/src/dispatch/lc-placement.c
+++ b/packages/core/src/dispatch/lc-placement.c
@@ -76,12 +76,12 @@
   lc_dispatch_reschedule_request_timer (dispatch, request);
 }
 
-/* Returns the time since which a load report must have been requested to be current. An instance
- * that was paused or partitioned, or has just started, may not know that an endpoint is leaving and
- * would send it work seconds after it had to stop. A current report proves that the endpoint was
- * not leaving shortly before. */
+/* Returns the earliest time at which a load report may have been measured to count as current. An
+ * instance that was paused or partitioned, or has just started, may not know that an endpoint is
+ * leaving and would send it work seconds after it had to stop. A current report proves that the
+ * endpoint was not leaving shortly before. */
 static LbTime
-oldest_current_report_time (const LcDispatch *dispatch, LbTime now)
+oldest_current_load_report_time (const LcDispatch *dispatch, LbTime now)
 {
   LbTime max_age = dispatch->settings.max_report_age;
 
@@ -89,7 +89,7 @@
 }
 
 static bool
-has_current_report (const LcDispatch *dispatch, const LcPoolState *pool, LbTime since)
+has_current_load_report (const LcDispatch *dispatch, const LcPoolState *pool, LbTime since)
 {
   const LcEndpointGroup *group = find_endpoint_group (dispatch, pool);
 
@@ -106,7 +106,7 @@
 /* Returns an empty decision while a pool with only outdated load reports waits for a current one.
  * After a pause of this instance, reports arrive within milliseconds. After MAX_POOL_HOLD_TIME
  * without one, the decision on outdated reports is used. An endpoint that never reported is used at
- * once: the endpoint table has already excluded it for as long. */
+ * once: the endpoint table has already excluded it until its first reply. */
 static LcRouteDecision
 wait_for_report_or_use_decision (LcPoolState *pool, const LcRouteDecision *outdated, LbTime now)
 {
@@ -127,14 +127,14 @@
   LcRouteQuery query
       = lc_request_make_route_query (request, dispatch->settings.data_centre, avoid_tried);
 
-  query.reported_since = oldest_current_report_time (dispatch, now);
+  query.reported_since = oldest_current_load_report_time (dispatch, now);
 
   LcRouteDecision decision
       = lc_router_choose_endpoint (dispatch->router, dispatch->endpoints, &query, now);
 
   if (decision.endpoint)
     request->pool->held_since = 0;
-  if (decision.endpoint || has_current_report (dispatch, request->pool, query.reported_since))
+  if (decision.endpoint || has_current_load_report (dispatch, request->pool, query.reported_since))
     return decision;
   query.reported_since = 0;
   decision = lc_router_choose_endpoint (dispatch->router, dispatch->endpoints, &query, now);
@@ -328,7 +328,9 @@
 }
 
 static void
-charge_hedge (LcDispatch *dispatch, const LcRequest *request, const LcEndpoint *endpoint)
+charge_hedge_to_retry_budgets (LcDispatch *dispatch,
+                               const LcRequest *request,
+                               const LcEndpoint *endpoint)
 {
   if (request->kind == LC_KIND_SAMPLE)
     return;
@@ -382,7 +384,7 @@
   if (is_hedge_allowed (dispatch, request, endpoint)
       && may_send_attempt (dispatch, request, endpoint))
     {
-      charge_hedge (dispatch, request, endpoint);
+      charge_hedge_to_retry_budgets (dispatch, request, endpoint);
       send_attempt (dispatch, request, &decision, now, actions);
     }
   lc_dispatch_reschedule_request_timer (dispatch, request);
--- a/packages/core/src/dispatch/lc-policies.c
+++ b/packages/core/src/dispatch/lc-policies.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define MAX_CACHED_SHARES 128
+#define MAX_CACHED_PROMPT_SHARES 128
 
 LcRouter *
 lc_policy_new (const LcPolicyClass *klass, uint64_t seed)
@@ -71,7 +71,7 @@
 }
 
 static void
-ensure_cached_shares_size (LcPolicy *policy, size_t n_slots)
+ensure_cached_prompt_shares_size (LcPolicy *policy, size_t n_slots)
 {
   if (policy->n_cached_shares >= n_slots)
     return;
@@ -88,13 +88,13 @@
                                         const LcRouteQuery *query,
                                         LbTime now)
 {
-  LcCachedShare shares[MAX_CACHED_SHARES];
-  size_t n
-      = lc_prefix_index_find_cached_shares (endpoints->prefix_index, query->prefix_hashes,
-                                            query->n_prefix_hashes, endpoints->caches,
-                                            endpoints->n_slots, now, shares, MAX_CACHED_SHARES);
+  LcCachedShare shares[MAX_CACHED_PROMPT_SHARES];
+  size_t n = lc_prefix_index_find_cached_shares (endpoints->prefix_index, query->prefix_hashes,
+                                                 query->n_prefix_hashes, endpoints->caches,
+                                                 endpoints->n_slots, now, shares,
+                                                 MAX_CACHED_PROMPT_SHARES);
 
-  ensure_cached_shares_size (policy, endpoints->n_slots);
+  ensure_cached_prompt_shares_size (policy, endpoints->n_slots);
   for (size_t i = 0; i < n; i++)
     policy->cached_shares[shares[i].slot]
         = fmax (policy->cached_shares[shares[i].slot], shares[i].share);
--- a/packages/core/src/dispatch/lc-policies.h
+++ b/packages/core/src/dispatch/lc-policies.h
@@ -37,8 +37,8 @@
   size_t n_cached_shares;
   LcLoadCost *load_costs; /* load cost of each candidate */
   size_t n_load_costs;
-  /* Finish time policy: fill level of the last decision, relative to the level that filling all
-   * candidates gives. Start value of the next decision's iteration. */
+  /* Finish time policy: fill level of the last decision, divided by the level if all candidates
+   * were filled. The search for the next fill level starts from this ratio. */
   double level_ratio;
 };
 
--- a/packages/core/src/dispatch/lc-pool.c
+++ b/packages/core/src/dispatch/lc-pool.c
@@ -4,7 +4,7 @@
 
 #include <stdlib.h>
 
-#define EWMA_WEIGHT 0.05
+#define ATTEMPT_TIME_EWMA_WEIGHT 0.05
 
 LcPoolState *
 lc_pool_state_new (LcPoolKind kind, const char *name)
@@ -37,7 +37,7 @@
 {
   double seconds = (double)sample / (double)LB_SEC;
 
-  *mean = *mean > 0 ? *mean + EWMA_WEIGHT * (seconds - *mean) : seconds;
+  *mean = *mean > 0 ? *mean + ATTEMPT_TIME_EWMA_WEIGHT * (seconds - *mean) : seconds;
 }
 
 void
--- a/packages/core/src/dispatch/lc-queue.c
+++ b/packages/core/src/dispatch/lc-queue.c
@@ -56,7 +56,7 @@
 };
 
 static bool
-is_sent_before (const LcQueueEntry *a, const LcQueueEntry *b)
+is_request_sent_before (const LcQueueEntry *a, const LcQueueEntry *b)
 {
   if (a->priority != b->priority)
     return a->priority > b->priority;
@@ -66,28 +66,28 @@
 }
 
 static bool
-ready_node_before (const LcHeapNode *a, const LcHeapNode *b)
+is_ready_request_sent_before (const LcHeapNode *a, const LcHeapNode *b)
 {
-  return is_sent_before (LC_HEAP_ENTRY (a, LcQueueEntry, ready_node),
-                         LC_HEAP_ENTRY (b, LcQueueEntry, ready_node));
+  return is_request_sent_before (LC_HEAP_ENTRY (a, LcQueueEntry, ready_node),
+                                 LC_HEAP_ENTRY (b, LcQueueEntry, ready_node));
 }
 
 static bool
-is_dropped_before (const LcHeapNode *a, const LcHeapNode *b)
+is_request_dropped_before (const LcHeapNode *a, const LcHeapNode *b)
 {
-  return is_sent_before (LC_HEAP_ENTRY (b, LcQueueEntry, drop_node),
-                         LC_HEAP_ENTRY (a, LcQueueEntry, drop_node));
+  return is_request_sent_before (LC_HEAP_ENTRY (b, LcQueueEntry, drop_node),
+                                 LC_HEAP_ENTRY (a, LcQueueEntry, drop_node));
 }
 
 static bool
-active_flow_before (const LcHeapNode *a, const LcHeapNode *b)
+is_active_flow_start_earlier (const LcHeapNode *a, const LcHeapNode *b)
 {
   return LC_HEAP_ENTRY (a, LcFlow, active_node)->next_start
          < LC_HEAP_ENTRY (b, LcFlow, active_node)->next_start;
 }
 
 static bool
-idle_flow_before (const LcHeapNode *a, const LcHeapNode *b)
+is_idle_flow_start_earlier (const LcHeapNode *a, const LcHeapNode *b)
 {
   return LC_HEAP_ENTRY (a, LcFlow, idle_node)->next_start
          < LC_HEAP_ENTRY (b, LcFlow, idle_node)->next_start;
@@ -100,7 +100,7 @@
 }
 
 static bool
-backlogged_flow_before (const LcHeapNode *a, const LcHeapNode *b)
+has_larger_relative_backlog (const LcHeapNode *a, const LcHeapNode *b)
 {
   return relative_backlog (LC_HEAP_ENTRY (a, LcFlow, backlog_node))
          > relative_backlog (LC_HEAP_ENTRY (b, LcFlow, backlog_node));
@@ -131,7 +131,7 @@
 }
 
 static bool
-band_rank_before (const BandRank *a, const BandRank *b)
+is_band_rank_before (const BandRank *a, const BandRank *b)
 {
   if (a->kind != b->kind)
     return a->kind < b->kind;
@@ -146,17 +146,17 @@
 {
   size_t index = 0;
 
-  while (index < queue->n_bands && band_rank_before (&queue->bands[index]->rank, rank))
+  while (index < queue->n_bands && is_band_rank_before (&queue->bands[index]->rank, rank))
     index++;
   return index;
 }
 
 static Band *
-band_of_rank_at_index (const LcQueue *queue, size_t index, const BandRank *rank)
+get_band_if_rank_equals (const LcQueue *queue, size_t index, const BandRank *rank)
 {
   Band *band = index < queue->n_bands ? queue->bands[index] : NULL;
 
-  return band && !band_rank_before (rank, &band->rank) ? band : NULL;
+  return band && !is_band_rank_before (rank, &band->rank) ? band : NULL;
 }
 
 static Band *
@@ -165,9 +165,9 @@
   Band *band = LB_NEW (Band);
 
   band->rank = *rank;
-  lc_heap_init (&band->active, active_flow_before);
-  lc_heap_init (&band->backlog, backlogged_flow_before);
-  lc_heap_init (&band->idle, idle_flow_before);
+  lc_heap_init (&band->active, is_active_flow_start_earlier);
+  lc_heap_init (&band->backlog, has_larger_relative_backlog);
+  lc_heap_init (&band->idle, is_idle_flow_start_earlier);
   return band;
 }
 
@@ -236,8 +236,8 @@
   LB_COPY (flow->caller, key->caller);
   flow->band = band;
   flow->kind = key->kind;
-  lc_heap_init (&flow->ready, ready_node_before);
-  lc_heap_init (&flow->drop_order, is_dropped_before);
+  lc_heap_init (&flow->ready, is_ready_request_sent_before);
+  lc_heap_init (&flow->drop_order, is_request_dropped_before);
   HASH_ADD_STR (band->flows, caller, flow);
   return flow;
 }
@@ -308,7 +308,7 @@
 {
   BandRank rank = band_rank_of (key);
   size_t index = find_band_index (queue, &rank);
-  Band *band = band_of_rank_at_index (queue, index, &rank);
+  Band *band = get_band_if_rank_equals (queue, index, &rank);
 
   if (band)
     return band;
@@ -434,7 +434,7 @@
 {
   BandRank rank = band_rank_of (key);
   size_t own_index = find_band_index (queue, &rank);
-  const Band *own_band = band_of_rank_at_index (queue, own_index, &rank);
+  const Band *own_band = get_band_if_rank_equals (queue, own_index, &rank);
 
   for (size_t i = queue->n_bands; i-- > own_index;)
     {
@@ -474,7 +474,7 @@
 {
   BandRank rank = band_rank_of (key);
   size_t own_index = find_band_index (queue, &rank);
-  const Band *band = band_of_rank_at_index (queue, own_index, &rank);
+  const Band *band = get_band_if_rank_equals (queue, own_index, &rank);
   double share = key->share > 0 ? key->share : 1;
   double ahead = 0;
 
--- a/packages/core/src/dispatch/lc-router-finish-time.c
+++ b/packages/core/src/dispatch/lc-router-finish-time.c
@@ -32,7 +32,7 @@
 #define MIN_SILENCE_SECONDS 2.0
 /* Relative difference up to which two scores count as equal. */
 #define SCORE_TOLERANCE 0.002
-/* Weight in the draw, in requests, of an endpoint that is filled above the level. */
+/* Weight in the draw, in requests, of an endpoint whose load cost is above the fill level. */
 #define MIN_DRAW_WEIGHT 0.01
 
 /* Inputs of a routing decision that are the same for all candidates. */
@@ -44,11 +44,12 @@
   const double *cached_shares;
   double mean_service_seconds;
   double expected_tokens;
-  double full_prefill_seconds; /* time to process the whole prompt, if no part is cached */
-  double unreported; /* requests that other instances have sent since the reports, without those
-                        bound to a cached prefix */
-  double prefix_bound_per_sent; /* unreported requests bound to a cached prefix at an endpoint,
-                                   per request that this instance has sent to the endpoint */
+  double full_prefill_seconds;    /* time to process the whole prompt, if no part is cached */
+  double n_arrived_since_reports; /* requests that other instances have sent since the load reports,
+                                     without those bound to a cached prefix */
+  double prefix_bound_per_sent; /* requests that other instances have sent to an endpoint since its
+                                   report, bound to a cached prefix, per request that this instance
+                                   has sent to it */
   double silence_limit_seconds;
   int data_centre;
   LbTime now;
@@ -92,7 +93,7 @@
 }
 
 static double
-report_age_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
+load_report_age_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
   if (summary->reported_at == LC_NEVER_REPORTED)
     return 0;
@@ -105,7 +106,7 @@
 still_running_fraction (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
   return inputs->mean_service_seconds
-         / (inputs->mean_service_seconds + report_age_seconds (inputs, summary));
+         / (inputs->mean_service_seconds + load_report_age_seconds (inputs, summary));
 }
 
 /* Returns the penalty of an unresponsive endpoint. Its last reported requests are expected to
@@ -115,7 +116,7 @@
 static double
 silence_penalty_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
-  double age = report_age_seconds (inputs, summary);
+  double age = load_report_age_seconds (inputs, summary);
   double since_reply = 0;
 
   if (age < inputs->silence_limit_seconds)
@@ -126,7 +127,7 @@
 }
 
 static double
-remaining_swap_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
+remaining_weight_swap_seconds (const DecisionInputs *inputs, const LcEndpointSummary *summary)
 {
   const LcEndpoint *endpoint = summary->endpoint;
 
@@ -186,7 +187,7 @@
 }
 
 static void
-ensure_load_costs (LcPolicy *policy)
+ensure_load_costs_capacity (LcPolicy *policy)
 {
   if (policy->n_load_costs >= policy->candidates.n_items)
     return;
@@ -204,7 +205,7 @@
   size_t n = policy->candidates.n_items;
   double prefill = (double)inputs->query->prompt_tokens / PREFILL_TOKENS_PER_SECOND;
   double total = 0;
-  double unreported = 0;
+  double n_arrived_since_reports = 0;
   double sent = 0;
   double age = 0;
 
@@ -214,16 +215,18 @@
       double others = (double)summary->other_requests;
       double remaining = others * still_running_fraction (inputs, summary);
 
-      unreported += others - remaining;
+      n_arrived_since_reports += others - remaining;
       total += others + summary->in_flight;
-      age += report_age_seconds (inputs, summary);
+      age += load_report_age_seconds (inputs, summary);
       sent += summary->live_sent_since_report + PRIOR_SENT_REQUESTS;
       /* seconds holds the candidate's load until compute_all_load_costs replaces it by the load
        * cost */
       policy->load_costs[i].seconds = remaining;
     }
-  inputs->unreported = unreported * (1 - inputs->group->prefix_bound_share);
-  inputs->prefix_bound_per_sent = unreported * inputs->group->prefix_bound_share / sent;
+  inputs->n_arrived_since_reports
+      = n_arrived_since_reports * (1 - inputs->group->prefix_bound_share);
+  inputs->prefix_bound_per_sent
+      = n_arrived_since_reports * inputs->group->prefix_bound_share / sent;
   inputs->silence_limit_seconds
       = max_of (MIN_SILENCE_SECONDS, SILENCE_REPORT_AGE_FACTOR * age / (double)n);
   inputs->full_prefill_seconds = prefill * (1 + PREFILL_SLOWDOWN * total / (double)n);
@@ -235,7 +238,7 @@
 compute_all_load_costs (LcPolicy *policy, const DecisionInputs *inputs)
 {
   double weight = 0;
-  double sum = inputs->unreported + 1;
+  double sum = inputs->n_arrived_since_reports + 1;
 
   for (size_t i = 0; i < policy->candidates.n_items; i++)
     {
@@ -255,7 +258,7 @@
 /* Returns the level of load cost that is reached if the arrivals are spread over the candidates
  * below the given level; HUGE_VAL if no candidate is below. */
 static double
-compute_level_filling_below (const LcPolicy *policy, double arrivals, double level)
+compute_fill_level_below (const LcPolicy *policy, double arrivals, double level)
 {
   double weight = 0;
   double sum = arrivals;
@@ -273,18 +276,18 @@
 
 /* Water-filling: the arrivals fill the least loaded candidates first; returns the level of load
  * cost to which these rise. Newton's method on a convex, piecewise linear function: after the first
- * step the level only falls, and the iteration ends when the level stays. It starts from the ratio
- * of the previous decision. */
+ * step the level only falls, and the iteration ends when the level stays. It starts from the
+ * level_ratio of the previous decision. */
 static double
 find_fill_level (LcPolicy *policy, double arrivals, double all_filled)
 {
-  double level = compute_level_filling_below (policy, arrivals, all_filled * policy->level_ratio);
-  double next = compute_level_filling_below (policy, arrivals, level);
+  double level = compute_fill_level_below (policy, arrivals, all_filled * policy->level_ratio);
+  double next = compute_fill_level_below (policy, arrivals, level);
 
   while (next < level)
     {
       level = next;
-      next = compute_level_filling_below (policy, arrivals, level);
+      next = compute_fill_level_below (policy, arrivals, level);
     }
   policy->level_ratio = level / all_filled;
   return level;
@@ -302,8 +305,8 @@
       double score
           = max_of (level, policy->load_costs[i].seconds)
             + network_latency_seconds (inputs, summary) + connect_cost_seconds (inputs, summary)
-            + remaining_swap_seconds (inputs, summary) + silence_penalty_seconds (inputs, summary)
-            + prefill_cost_seconds (inputs, summary);
+            + remaining_weight_swap_seconds (inputs, summary)
+            + silence_penalty_seconds (inputs, summary) + prefill_cost_seconds (inputs, summary);
 
       policy->candidates.items[i].score = score;
       lowest = min_of (lowest, score);
@@ -326,7 +329,7 @@
 
 /* Whether this instance has an idle connection to a candidate near the lowest score. */
 static bool
-any_lowest_has_idle_connection (const LcPolicy *policy, double lowest, LbTime now)
+any_lowest_scored_has_idle_connection (const LcPolicy *policy, double lowest, LbTime now)
 {
   for (size_t i = 0; i < policy->candidates.n_items; i++)
     if (is_near_lowest_score (policy, i, lowest)
@@ -336,12 +339,13 @@
 }
 
 /* Draws one of the candidates near the lowest score. The weight of a candidate is the number of
- * requests that would raise it to the level. Candidates with an idle connection are preferred: the
- * requests of a training step start together, and each would otherwise open a connection. */
+ * requests that would raise its load cost to the fill level. Candidates with an idle connection are
+ * preferred: the requests of a training step start together, and each would otherwise open a
+ * connection. */
 static size_t
 draw_candidate (LcPolicy *policy, double level, double lowest, LbTime now)
 {
-  bool prefer_connected = any_lowest_has_idle_connection (policy, lowest, now);
+  bool prefer_connected = any_lowest_scored_has_idle_connection (policy, lowest, now);
   double total = 0;
   size_t chosen = 0;
 
@@ -362,9 +366,9 @@
 }
 
 /* Avoids herding: all instances see the same reports, so if each chose the lowest score, one
- * endpoint would get all requests until the next report. Endpoints below the level are therefore
- * scored as if the unreported arrivals had already filled them. This makes many scores equal, and
- * the draw gives each endpoint its part of the arrivals. */
+ * endpoint would get all requests until the next report. Endpoints below the fill level are
+ * therefore scored as if the requests that have arrived since the reports had already filled them.
+ * This makes many scores equal, and the draw gives each endpoint its part of the arrivals. */
 static size_t
 pick_least_finish_time (LcPolicy *policy,
                         LcEndpoints *endpoints,
@@ -373,11 +377,11 @@
 {
   DecisionInputs inputs = make_decision_inputs (policy, endpoints, query, now);
 
-  ensure_load_costs (policy);
+  ensure_load_costs_capacity (policy);
   estimate_arrivals (policy, &inputs);
 
   double all_filled = compute_all_load_costs (policy, &inputs);
-  double level = find_fill_level (policy, inputs.unreported + 1, all_filled);
+  double level = find_fill_level (policy, inputs.n_arrived_since_reports + 1, all_filled);
   double lowest = score_candidates (policy, &inputs, level);
   size_t chosen = draw_candidate (policy, level, lowest, now);
   bool is_prefix_bound = inputs.cached_shares[policy->candidates.summaries[chosen]->slot] > 0;
