--- a/packages/core/include/lc-subset.h
+++ b/packages/core/include/lc-subset.h
@@ -39,8 +39,8 @@
 bool lc_subset_end_page (LcSubset *subset, const char *last_key, bool is_last);
 
 /* Functions that configure the choice of the subset. */
-/* Clears the set of expected services. Pages are read until the subset has enough endpoints of each
- * expected service. */
+/* Clears the set of required services. Pages are read until the subset has enough endpoints of each
+ * required service. */
 void lc_subset_clear_required_services (LcSubset *subset);
 void lc_subset_add_required_service (LcSubset *subset, const char *service);
 /* Sets the last key of the service's subset, as chosen by the instance that publishes the bounds;
--- a/packages/core/src/endpoints/lc-endpoint-entry.c
+++ b/packages/core/src/endpoints/lc-endpoint-entry.c
@@ -2,8 +2,8 @@
 
 #include <string.h>
 
-/* A longer gap between two events shows that this process was stopped. Applies after
- * MIN_REPEATED_REPORTS, when reports are known to arrive regularly. */
+/* A longer gap between two events of the endpoint table shows that this process was paused. Applies
+ * after MIN_REPEATED_REPORTS, when reports are known to arrive regularly. */
 #define MAX_EVENT_GAP (2 * LB_SEC)
 #define MIN_REPEATED_REPORTS 10
 
@@ -46,7 +46,7 @@
 }
 
 static void
-update_summary (LcEndpointEntry *entry)
+update_endpoint_summary (LcEndpointEntry *entry)
 {
   const LcEndpoint *endpoint = &entry->endpoint;
 
@@ -79,9 +79,9 @@
              : endpoints->reports_valid_since;
 }
 
-/* Called for every event of the table, to detect that this process was stopped for a while: reports
- * come several times a second, so a gap without any event shows a stop. Reports measured before
- * the end of the stop are ignored. Without this, the retry of a stream that broke during the stop
+/* Called for every event of the endpoint table, to detect that this process was paused: reports
+ * come several times a second, so a gap without any event shows a pause. Reports measured before
+ * the end of the pause are ignored. Without this, the retry of a stream that broke during the pause
  * could be sent to an endpoint that announced meanwhile that it is leaving. */
 void
 lc_endpoints_detect_process_pause (LcEndpoints *endpoints, LbTime now)
@@ -105,7 +105,7 @@
   endpoint->breaker_open_until = entry->breaker.open_until;
   endpoint->consecutive_failures = entry->breaker.consecutive_failures;
   endpoint->concurrency_limit = entry->concurrency.limit;
-  update_summary (entry);
+  update_endpoint_summary (entry);
 }
 
 /* Discards state that belongs to the endpoint's previous process. */
--- a/packages/core/src/endpoints/lc-endpoints-config.c
+++ b/packages/core/src/endpoints/lc-endpoints-config.c
@@ -127,7 +127,7 @@
 }
 
 static void
-add_or_update_member (LcEndpoints *endpoints, const LcEndpointMember *member)
+add_or_update_endpoint (LcEndpoints *endpoints, const LcEndpointMember *member)
 {
   LcEndpointEntry *entry = lc_endpoints_find_entry (endpoints, member->name);
 
@@ -254,7 +254,7 @@
   for (size_t i = 0; i < endpoints->n_entries; i++)
     endpoints->entries[i]->is_retired = true;
   for (size_t i = 0; i < set->n_endpoints; i++)
-    add_or_update_member (endpoints, &set->endpoints[i]);
+    add_or_update_endpoint (endpoints, &set->endpoints[i]);
   remove_retired_entries (endpoints);
   rebuild_groups (endpoints, now);
 }
--- a/packages/core/src/endpoints/lc-endpoints-query.c
+++ b/packages/core/src/endpoints/lc-endpoints-query.c
@@ -1,6 +1,6 @@
 #include "lc-endpoint-table.h"
 
-#define MAX_REPORT_AGE (10 * LB_SEC) /* an older load report no longer limits requests */
+#define MAX_LIMITING_REPORT_AGE (10 * LB_SEC) /* an older load report no longer limits requests */
 
 size_t
 lc_endpoints_count (const LcEndpoints *endpoints)
@@ -83,7 +83,7 @@
     return true;
   if (summary->reported_at < reports_valid_since)
     return false;
-  if (now - summary->reported_at > MAX_REPORT_AGE)
+  if (now - summary->reported_at > MAX_LIMITING_REPORT_AGE)
     return true;
   return summary->requests < summary->capacity * share;
 }
--- a/packages/core/src/endpoints/lc-endpoints.c
+++ b/packages/core/src/endpoints/lc-endpoints.c
@@ -7,7 +7,7 @@
 #include <math.h>
 #include <string.h>
 
-#define EWMA_WEIGHT 0.1
+#define REQUEST_TIME_EWMA_WEIGHT 0.1
 /* Time without new requests after an endpoint rejected one. It is short, so that requests resume
  * soon after the end of a weight load, which takes about a second. */
 #define REFUSAL_BACKOFF (120 * LB_MSEC)
@@ -103,10 +103,10 @@
   [LC_LEAVING_PEER] = "peer",
 };
 
-/* Publishes the entry's state. If the endpoint was not leaving before and is leaving now, logs the
- * change, which happens once for each incarnation, and returns true. */
+/* Refreshes the entry's public state. If the endpoint was not leaving before and is leaving now,
+ * logs the change, which happens once for each incarnation, and returns true. */
 static bool
-publish_and_log_leaving (LcEndpointEntry *entry, LcLeavingSource source, LbTime now)
+refresh_state_and_log_leaving (LcEndpointEntry *entry, LcLeavingSource source, LbTime now)
 {
   bool was_leaving = entry->endpoint.leaving;
 
@@ -139,7 +139,7 @@
     apply_load_report (entry, &sanitised);
   if (report->leaving)
     lc_leaving_mark_incarnation (&entry->leaving, report->incarnation);
-  publish_and_log_leaving (entry, LC_LEAVING_ENDPOINT, now);
+  refresh_state_and_log_leaving (entry, LC_LEAVING_ENDPOINT, now);
 }
 
 /* The platform's list names no incarnation: pass "", and call
@@ -160,7 +160,7 @@
     lc_leaving_set_marked_by_platform (&entry->leaving, true);
   else
     lc_leaving_mark_incarnation (&entry->leaving, incarnation);
-  return publish_and_log_leaving (entry, source, now);
+  return refresh_state_and_log_leaving (entry, source, now);
 }
 
 void
@@ -231,7 +231,7 @@
 static void
 update_ewma (double *mean, double sample)
 {
-  *mean = *mean > 0 ? *mean + EWMA_WEIGHT * (sample - *mean) : sample;
+  *mean = *mean > 0 ? *mean + REQUEST_TIME_EWMA_WEIGHT * (sample - *mean) : sample;
 }
 
 /* waited: time from sending the request to receiving the first byte of the response. */
--- a/packages/core/src/endpoints/lc-entry.c
+++ b/packages/core/src/endpoints/lc-entry.c
@@ -20,7 +20,7 @@
 }
 
 static bool
-is_chosen (const LcEntryChoice *choice, size_t index)
+is_instance_chosen (const LcEntryChoice *choice, size_t index)
 {
   for (size_t i = 0; i < choice->n_chosen; i++)
     if (choice->chosen[i] == index)
@@ -51,7 +51,7 @@
     {
       bool in_same_data_centre = strcmp (views[i].instance.data_centre, data_centre) == 0;
       if (in_same_data_centre != same_data_centre || !is_eligible_instance (&views[i])
-          || is_chosen (choice, i))
+          || is_instance_chosen (choice, i))
         continue;
       double candidate_score = rendezvous_score (&views[i], caller);
       if (candidate_score <= best)
--- a/packages/core/src/endpoints/lc-roster.c
+++ b/packages/core/src/endpoints/lc-roster.c
@@ -23,7 +23,7 @@
 /* A leaving endpoint must get no new requests later than 2 s after its announcement. This period,
  * the store's reply and the processing of the reply add up to half a second less. */
 #define MAX_LIST_PERIOD (900 * LB_MSEC)
-#define INITIAL_CAPACITY 16
+#define INITIAL_ENTRY_CAPACITY 16
 /* Maximum number of endpoints added or removed by one list that are logged individually; further
  * ones are only counted. */
 #define MAX_LOGGED_CHANGES 16
@@ -82,7 +82,7 @@
 } ChangeLog;
 
 static void
-log_registration (const char *single_event, const LcRegistration *registration)
+log_registration_event (const char *single_event, const LcRegistration *registration)
 {
   lb_log (LB_LOG_INFO, single_event, LB_TEXT ("endpoint", registration->name),
           LB_TEXT ("address", registration->address), LB_TEXT ("service", registration->service),
@@ -93,7 +93,7 @@
 log_endpoint_change (ChangeLog *change_log, const LcRegistration *registration)
 {
   if (change_log->n_changes++ < MAX_LOGGED_CHANGES)
-    log_registration (change_log->single_event, registration);
+    log_registration_event (change_log->single_event, registration);
 }
 
 static void
@@ -109,7 +109,7 @@
 {
   if (roster->n_entries == roster->capacity)
     {
-      roster->capacity = roster->capacity > 0 ? 2 * roster->capacity : INITIAL_CAPACITY;
+      roster->capacity = roster->capacity > 0 ? 2 * roster->capacity : INITIAL_ENTRY_CAPACITY;
       roster->entries = lb_realloc (roster->entries, roster->capacity * sizeof *roster->entries);
     }
   Entry *entry = &roster->entries[roster->n_entries++];
@@ -129,7 +129,7 @@
   if (!entry)
     entry = add_entry (roster, registration, added);
   else if (registration->leaving && !entry->registration.leaving)
-    log_registration ("endpoint_lists_leaving", registration);
+    log_registration_event ("endpoint_lists_leaving", registration);
   entry->registration = *registration;
   entry->is_listed = true;
   return changed;
@@ -165,7 +165,7 @@
  * every instance processed the first list for longer than the time limit for sending requests to a
  * leaving endpoint. */
 static bool
-merge_list (LcRoster *roster, const LcRegistration *list, size_t n_list)
+merge_registration_list (LcRoster *roster, const LcRegistration *list, size_t n_list)
 {
   const LcRegistration **sorted = sort_registrations_by_name (list, n_list);
   ChangeLog added = { .single_event = "endpoint_listed", .summary_event = "endpoints_listed" };
@@ -180,7 +180,7 @@
         index++;
       size_t position = index;
       if (index == n_sorted || strcmp (roster->entries[index].registration.name, name) != 0)
-        /* the entry appended last, for a list that names an endpoint twice */
+        /* A list may name an endpoint twice: the first mention was then appended last. */
         position = roster->n_entries - 1;
       bool is_known = position < roster->n_entries
                       && strcmp (roster->entries[position].registration.name, name) == 0;
@@ -193,7 +193,7 @@
 }
 
 static const Entry *
-find_listed_entry_by_address (const LcRoster *roster, const char *address)
+find_entry_in_list_by_address (const LcRoster *roster, const char *address)
 {
   for (size_t i = 0; i < roster->n_entries; i++)
     if (roster->entries[i].is_listed
@@ -209,7 +209,7 @@
 find_successor_at_same_address (const LcRoster *roster, const Entry *missing)
 {
   return missing->is_listed ? NULL
-                            : find_listed_entry_by_address (roster, missing->registration.address);
+                            : find_entry_in_list_by_address (roster, missing->registration.address);
 }
 
 /* A restarted engine keeps its planned model: another assignment would make it load other weights
@@ -254,11 +254,11 @@
   return removed.n_changes > 0;
 }
 
-/* Keeps unlisted entries during the grace period. In an outage of the store, registrations expire
- * because live endpoints can't renew them; if these endpoints were removed, all requests would go
- * to the few remaining endpoints, or fail. */
+/* Keeps entries that are missing in the list during the grace period. In an outage of the store,
+ * registrations expire because live endpoints can't renew them; if these endpoints were removed,
+ * all requests would go to the few remaining endpoints, or fail. */
 static bool
-remove_unlisted_entries (LcRoster *roster, LbTime now)
+remove_entries_missing_in_list (LcRoster *roster, LbTime now)
 {
   ChangeLog removed = { .single_event = "endpoint_gone", .summary_event = "endpoints_gone" };
 
@@ -394,7 +394,7 @@
 }
 
 static void
-record_list_time (LcRoster *roster, LbTime asked_at, LbTime now)
+record_list_request_time (LcRoster *roster, LbTime asked_at, LbTime now)
 {
   if (roster->last_list_at > 0 && asked_at - roster->last_list_at > MIN_OUTAGE_GAP)
     roster->grace_until = now + OUTAGE_GRACE;
@@ -404,8 +404,8 @@
 bool
 lc_roster_record_unchanged_list (LcRoster *roster, LbTime asked_at, LbTime now)
 {
-  record_list_time (roster, asked_at, now);
-  bool changed = remove_unlisted_entries (roster, now);
+  record_list_request_time (roster, asked_at, now);
+  bool changed = remove_entries_missing_in_list (roster, now);
   if (changed)
     assign_models_to_engines (roster);
   return changed;
@@ -417,12 +417,12 @@
 {
   bool changed = roster->last_list_at == 0;
 
-  record_list_time (roster, asked_at, now);
+  record_list_request_time (roster, asked_at, now);
   for (size_t i = 0; i < roster->n_entries; i++)
     roster->entries[i].is_listed = false;
-  changed |= merge_list (roster, list, n_list);
+  changed |= merge_registration_list (roster, list, n_list);
   changed |= remove_replaced_entries (roster);
-  changed |= remove_unlisted_entries (roster, now);
+  changed |= remove_entries_missing_in_list (roster, now);
   if (changed)
     assign_models_to_engines (roster);
   return changed;
--- a/packages/core/src/endpoints/lc-scaling.c
+++ b/packages/core/src/endpoints/lc-scaling.c
@@ -216,10 +216,10 @@
 }
 
 static int64_t
-max_spot_endpoints (const Location *location,
-                    const LcService *service,
-                    const LcResourceSet *set,
-                    LbTime now)
+compute_spot_endpoint_limit (const Location *location,
+                             const LcService *service,
+                             const LcResourceSet *set,
+                             LbTime now)
 {
   int64_t max_endpoints
       = service->scaling.max
@@ -264,7 +264,7 @@
   for (size_t i = 0; i < n; i++)
     {
       Location *location = find_or_add_location (scaling, service->name, prices[i].data_centre);
-      int64_t max_endpoints = max_spot_endpoints (location, service, set, now);
+      int64_t max_endpoints = compute_spot_endpoint_limit (location, service, set, now);
       int64_t n_wanted = n_remaining < max_endpoints ? n_remaining : max_endpoints;
       n_remaining -= n_wanted;
       set_wanted_endpoints (location, n_wanted, now);
@@ -289,7 +289,7 @@
 }
 
 static bool
-is_order_due (const Location *location, const LcResourceSet *set, LbTime now)
+is_location_order_due (const Location *location, const LcResourceSet *set, LbTime now)
 {
   if (location->is_order_pending || now < location->next_order_at)
     return false;
@@ -311,7 +311,7 @@
       distribute_spot_endpoints (scaling, &desired->services[i], set, now);
   LB_LIST_FOREACH (&scaling->locations, Location, link, location)
   {
-    if (!is_order_due (location, set, now))
+    if (!is_location_order_due (location, set, now))
       continue;
     location->is_order_pending = true;
     *order = (LcScalingOrder){ .endpoints = location->n_wanted };
--- a/packages/core/src/endpoints/lc-subset.c
+++ b/packages/core/src/endpoints/lc-subset.c
@@ -35,7 +35,7 @@
   int64_t slots;   /* number of slots of one endpoint, from the latest row of the service */
   double growth;   /* relative increase of the wanted number of endpoints due to load */
   LbTime grown_at;
-  bool is_expected;
+  bool is_required;      /* pages are read until the subset has enough endpoints of the service */
   bool is_listed;        /* the current list has a row of the service */
   bool is_absent;        /* the last list of the whole table had no row of the service */
   bool is_extended;      /* the current list extends the subset */
@@ -54,7 +54,7 @@
 {
   Service *services;
   Model *models;
-  int64_t max_requests; /* maximum of the requests of all models */
+  int64_t max_requests; /* largest number of concurrent requests for any model */
   size_t n_rows_needed; /* number of rows of the current list up to the last one in the subset */
   size_t n_rows_read;
   int64_t page_size;
@@ -194,7 +194,7 @@
 static bool
 service_needs_next_page (const LcSubset *subset, const Service *service, const char *last_key)
 {
-  if (!service->is_expected || service->is_absent)
+  if (!service->is_required || service->is_absent)
     return false;
   if (service->bound[0] == '\0')
     return true;
@@ -225,7 +225,7 @@
 }
 
 static void
-set_initial_bounds (LcSubset *subset)
+set_initial_subset_bounds (LcSubset *subset)
 {
   if (!subset->fits_one_page)
     return;
@@ -245,7 +245,7 @@
           = compute_next_page_size (subset, subset->n_rows_needed == subset->n_rows_read);
       return false;
     }
-  set_initial_bounds (subset);
+  set_initial_subset_bounds (subset);
   for (const Service *service = subset->services; service; service = service->hh.next)
     if (service_needs_next_page (subset, service, last_key))
       return true;
@@ -258,7 +258,7 @@
 {
   for (Service *service = subset->services; service; service = service->hh.next)
     {
-      service->is_expected = false;
+      service->is_required = false;
       service->is_absent = false;
     }
 }
@@ -266,7 +266,7 @@
 void
 lc_subset_add_required_service (LcSubset *subset, const char *service)
 {
-  find_or_add_service (subset, service)->is_expected = true;
+  find_or_add_service (subset, service)->is_required = true;
 }
 
 void
