--- a/packages/core/include/lc-catalog.h
+++ b/packages/core/include/lc-catalog.h
@@ -21,10 +21,10 @@
 
 typedef struct LcCatalog LcCatalog;
 
-/* draw: random number that spreads the times at which instances without a publisher start to list
- * the rows themselves. */
+/* random_number: spreads the times at which instances without a publisher start to list the rows
+ * themselves. */
 LcCatalog *
-lc_catalog_new (const char *instance, const char *incarnation, uint64_t draw, LbTime now);
+lc_catalog_new (const char *instance, const char *incarnation, uint64_t random_number, LbTime now);
 void lc_catalog_free (LcCatalog *catalog);
 
 /* Functions that copy the shared table into an LcCatalog. */
@@ -33,9 +33,9 @@
 void lc_catalog_begin_snapshot (LcCatalog *catalog);
 /* Applies one changed row of the table. value NULL: the row was deleted. */
 void lc_catalog_apply_row (LcCatalog *catalog, const char *key, const char *value, int64_t version);
-/* Call after all rows of one store response were applied. store_ms: the store's clock at that
+/* Call after all rows of one store response were applied. store_clock_ms: the store's clock at that
  * response. Returns true when a new complete snapshot is available. */
-bool lc_catalog_finish_update (LcCatalog *catalog, int64_t store_ms, LbTime now);
+bool lc_catalog_finish_update (LcCatalog *catalog, int64_t store_clock_ms, LbTime now);
 
 /* Functions that write this instance's listings to the shared table. */
 /* Sets the time between two listings by this instance while it publishes. The time is written to
@@ -54,10 +54,13 @@
 } LcCatalogItem;
 
 /* Replaces this instance's own listing of one list and takes ownership of the items. prefix: start
- * of all item keys, "LIST:". store_ms: the store's clock at the listing; 0: the listing does not
- * count in the age of the snapshot. */
-void lc_catalog_set_listing (
-    LcCatalog *catalog, const char *prefix, LcCatalogItem *items, size_t n_items, int64_t store_ms);
+ * of all item keys, "LIST:". store_clock_ms: the store's clock at the listing; 0: the listing does
+ * not count in the age of the snapshot. */
+void lc_catalog_set_listing (LcCatalog *catalog,
+                             const char *prefix,
+                             LcCatalogItem *items,
+                             size_t n_items,
+                             int64_t store_clock_ms);
 
 typedef struct
 {
--- a/packages/core/include/lc-fleet.h
+++ b/packages/core/include/lc-fleet.h
@@ -50,7 +50,7 @@
 char *lc_fleet_member_to_text (const LcFleetMember *member);
 bool lc_fleet_member_from_text (const char *text, LcFleetMember *member);
 
-/* One complete listing of the rows. */
+/* One complete listing of the instances' rows. */
 typedef struct
 {
   LbTime received_at;
--- a/packages/core/include/lc-lease.h
+++ b/packages/core/include/lc-lease.h
@@ -11,7 +11,7 @@
  * out; every READ and WRITE is answered exactly once by lc_lease_read_completed or
  * lc_lease_write_completed. */
 
-/* Value of the lease's row. */
+/* Value of the table row that stores the lease. */
 typedef struct
 {
   LbName holder;
--- a/packages/core/include/lc-membership.h
+++ b/packages/core/include/lc-membership.h
@@ -35,8 +35,8 @@
   LC_MEMBERSHIP_CHANGED    /* this instance's view of the members changed */
 } LcMembershipActionType;
 
-/* A heartbeat carries a digest of the view, so its size does not depend on the number of
- * members. */
+/* An action that the caller must carry out. A heartbeat (PING) carries only a digest
+ * of the view, so its size does not depend on the number of members. */
 typedef struct
 {
   LbLink link_in_list;
@@ -124,8 +124,8 @@
                                      size_t n_instances,
                                      LbTime now,
                                      LbList *actions);
-/* Handles a peer's summary of its whole view. Replies by SEND with the instances whose state is
- * newer in this instance's view. */
+/* Merges a peer's summary of its whole view. Replies by SEND with the instances whose state is
+ * newer in this instance's view, and by COMPARE if the peer has newer ones. */
 void lc_membership_summary_received (LcMembership *membership,
                                      LcLinkId link,
                                      const LcInstance *instances,
--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -17,8 +17,8 @@
  * one after another, early enough that other instances need not list the rows meanwhile. */
 #define PUBLISHER_TIMEOUT (600 * LB_MSEC)
 #define TAKEOVER_DELAY_PER_RANK (250 * LB_MSEC)
-#define MIN_PERIOD (100 * LB_MSEC)
-#define MAX_PERIOD (10 * LB_SEC)
+#define MIN_LISTING_PERIOD (100 * LB_MSEC)
+#define MAX_LISTING_PERIOD (10 * LB_SEC)
 /* A snapshot older than this on arrival is not used: the publisher's write was delayed. */
 #define MAX_SNAPSHOT_AGE_MS 1000
 /* A write without an answer counts as lost after this time; reading the table then shows whether
@@ -43,7 +43,7 @@
   char *prefix; /* key of the hash table */
   LcCatalogItem *items;
   size_t n_items;
-  int64_t store_ms;
+  int64_t store_clock_ms;
   UT_hash_handle hh;
 } Listing;
 
@@ -60,7 +60,7 @@
   LbName publisher_incarnation;
   int64_t publisher_epoch; /* incremented by each new publisher */
   LbTime publisher_period; /* time between the publisher's listings */
-  LbTime own_period;       /* time between this instance's listings while it publishes */
+  LbTime listing_period;   /* time between this instance's listings while it publishes */
   int64_t listed_ms;       /* store's clock at the listing that the publisher wrote the rows from */
   bool is_complete;        /* the publisher has written every change of its listing */
   bool publisher_row_changed;  /* the publisher's row changed since the last finished update */
@@ -79,16 +79,16 @@
 };
 
 LcCatalog *
-lc_catalog_new (const char *instance, const char *incarnation, uint64_t draw, LbTime now)
+lc_catalog_new (const char *instance, const char *incarnation, uint64_t random_number, LbTime now)
 {
   LcCatalog *catalog = LB_NEW (LcCatalog);
 
   LB_COPY (catalog->instance, instance);
   LB_COPY (catalog->incarnation, incarnation);
-  catalog->fallback_delay = (LbTime)(draw % (uint64_t)FALLBACK_SPREAD);
+  catalog->fallback_delay = (LbTime)(random_number % (uint64_t)FALLBACK_SPREAD);
   catalog->rank = -1;
   catalog->publisher_period = LC_CATALOG_LISTING_PERIOD;
-  catalog->own_period = LC_CATALOG_LISTING_PERIOD;
+  catalog->listing_period = LC_CATALOG_LISTING_PERIOD;
   catalog->publisher_changed_at = now;
   catalog->all_changes_written = true;
   catalog->last_expected_version = -1;
@@ -199,12 +199,13 @@
 {
   LbTime period = lb_json_int (object, "period_ms", LC_CATALOG_LISTING_PERIOD / LB_MSEC) * LB_MSEC;
 
-  return period < MIN_PERIOD || period > MAX_PERIOD ? LC_CATALOG_LISTING_PERIOD : period;
+  return period < MIN_LISTING_PERIOD || period > MAX_LISTING_PERIOD ? LC_CATALOG_LISTING_PERIOD
+                                                                    : period;
 }
 
 /* Scales a time that is given for LC_CATALOG_LISTING_PERIOD to the publisher's period. */
 static LbTime
-scale_to_period (const LcCatalog *catalog, LbTime time)
+scale_to_publisher_period (const LcCatalog *catalog, LbTime time)
 {
   return time * catalog->publisher_period / LC_CATALOG_LISTING_PERIOD;
 }
@@ -251,16 +252,16 @@
 }
 
 bool
-lc_catalog_finish_update (LcCatalog *catalog, int64_t store_ms, LbTime now)
+lc_catalog_finish_update (LcCatalog *catalog, int64_t store_clock_ms, LbTime now)
 {
-  int64_t age_ms = store_ms - catalog->listed_ms;
+  int64_t age_ms = store_clock_ms - catalog->listed_ms;
 
   if (!catalog->publisher_row_changed)
     return false;
   catalog->publisher_row_changed = false;
   catalog->publisher_changed_at = now;
   if (!catalog->is_complete || age_ms < 0
-      || age_ms * LB_MSEC > scale_to_period (catalog, MAX_SNAPSHOT_AGE_MS * LB_MSEC))
+      || age_ms * LB_MSEC > scale_to_publisher_period (catalog, MAX_SNAPSHOT_AGE_MS * LB_MSEC))
     return false;
   sort_rows (catalog);
   catalog->snapshot_received_at = now;
@@ -273,7 +274,8 @@
 {
   return catalog->snapshot_received_at > 0
          && now - catalog->snapshot_received_at
-                < scale_to_period (catalog, LC_CATALOG_SNAPSHOT_TIMEOUT + catalog->fallback_delay);
+                < scale_to_publisher_period (catalog,
+                                             LC_CATALOG_SNAPSHOT_TIMEOUT + catalog->fallback_delay);
 }
 
 LbTime
@@ -315,7 +317,7 @@
 void
 lc_catalog_set_listing_period (LcCatalog *catalog, LbTime period)
 {
-  catalog->own_period = period;
+  catalog->listing_period = period;
 }
 
 LbTime
@@ -349,9 +351,8 @@
 can_take_over_publishing (const LcCatalog *catalog, LbTime now)
 {
   return catalog->rank >= 0
-         && now - catalog->publisher_changed_at
-                >= scale_to_period (catalog, PUBLISHER_TIMEOUT
-                                                 + (LbTime)catalog->rank * TAKEOVER_DELAY_PER_RANK);
+         && now - catalog->publisher_changed_at >= scale_to_publisher_period (
+                catalog, PUBLISHER_TIMEOUT + (LbTime)catalog->rank * TAKEOVER_DELAY_PER_RANK);
 }
 
 bool
@@ -364,8 +365,11 @@
 }
 
 void
-lc_catalog_set_listing (
-    LcCatalog *catalog, const char *prefix, LcCatalogItem *items, size_t n_items, int64_t store_ms)
+lc_catalog_set_listing (LcCatalog *catalog,
+                        const char *prefix,
+                        LcCatalogItem *items,
+                        size_t n_items,
+                        int64_t store_clock_ms)
 {
   Listing *listing = NULL;
 
@@ -379,7 +383,7 @@
   free_items (listing->items, listing->n_items);
   listing->items = items;
   listing->n_items = n_items;
-  listing->store_ms = store_ms;
+  listing->store_clock_ms = store_clock_ms;
   catalog->all_changes_written = false;
 }
 
@@ -390,8 +394,8 @@
   int64_t oldest = 0;
 
   for (const Listing *listing = catalog->listings; listing; listing = listing->hh.next)
-    if (listing->store_ms > 0 && (oldest == 0 || listing->store_ms < oldest))
-      oldest = listing->store_ms;
+    if (listing->store_clock_ms > 0 && (oldest == 0 || listing->store_clock_ms < oldest))
+      oldest = listing->store_clock_ms;
   return oldest;
 }
 
@@ -434,7 +438,7 @@
   json_object_object_add (object, "listed_ms",
                           json_object_new_int64 (find_oldest_listing_ms (catalog)));
   json_object_object_add (object, "period_ms",
-                          json_object_new_int64 (catalog->own_period / LB_MSEC));
+                          json_object_new_int64 (catalog->listing_period / LB_MSEC));
   json_object_object_add (object, "whole", json_object_new_boolean (is_complete));
   return lb_json_serialize_and_release (object, JSON_C_TO_STRING_PLAIN);
 }
--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -17,11 +17,11 @@
 /* Store round trips from a due renewal to the listing that shows it: one for the listing and two
  * for the renewal, since rows of one partition of the table are written one after the other. */
 #define STORE_ROUND_TRIPS 3
-#define DEFAULT_PERIOD LB_SEC
-/* Limit of the renewal period by which a row seen for the first time is judged recent. A row that
- * is renewed less often does not show that its instance is alive now; callers are not sent to that
- * instance before its next renewal. */
-#define MAX_RECENT_PERIOD (2500 * LB_MSEC)
+#define DEFAULT_RENEWAL_PERIOD LB_SEC
+/* Upper limit of the renewal period when judging whether a row seen for the first time was renewed
+ * recently. A row that is renewed less often does not show that its instance is alive now; callers
+ * are not sent to that instance before its next renewal. */
+#define MAX_RENEWAL_PERIOD_FOR_RECENCY (2500 * LB_MSEC)
 /* A listing that is overdue by more than this shows that the store was unreachable. */
 #define OUTAGE_THRESHOLD (300 * LB_MSEC)
 /* Time until renewals succeed again after a store outage: a few were lost, and an instance waits
@@ -81,7 +81,7 @@
   row->strength = lb_json_int (object, "strength", 0);
   row->clock_lead_ms = lb_json_int (object, "clock_lead_ms", 0);
   row->renewed_ms = lb_json_int (object, "renewed_ms", 0);
-  row->period = lb_json_int (object, "period_ms", DEFAULT_PERIOD / LB_MSEC) * LB_MSEC;
+  row->period = lb_json_int (object, "period_ms", DEFAULT_RENEWAL_PERIOD / LB_MSEC) * LB_MSEC;
   return row->name[0] && row->incarnation[0] && row->caller_address[0];
 }
 
@@ -186,7 +186,8 @@
 was_row_renewed_recently (const LcFleet *fleet, const LcFleetRow *row)
 {
   LbTime age = (fleet->store_ms - row->renewed_ms) * LB_MSEC;
-  LbTime period = row->period < MAX_RECENT_PERIOD ? row->period : MAX_RECENT_PERIOD;
+  LbTime period
+      = row->period < MAX_RENEWAL_PERIOD_FOR_RECENCY ? row->period : MAX_RENEWAL_PERIOD_FOR_RECENCY;
 
   return fleet->store_ms > 0 && row->renewed_ms > 0
          && age < period * MAX_MISSED_RENEWALS + fleet->delay_allowance;
--- a/packages/core/src/membership/lc-lease.c
+++ b/packages/core/src/membership/lc-lease.c
@@ -10,11 +10,11 @@
 
 /* Time that candidates add to the expiry of the lease and the holder subtracts from it. It covers
  * the time that an order needs from the holder's check to the engine. */
-#define SAFETY_MARGIN (100 * LB_MSEC)
+#define EXPIRY_SAFETY_MARGIN (100 * LB_MSEC)
 #define CLAIM_DELAY_PER_RANK (500 * LB_MSEC)
-#define MAX_PAUSE LB_SEC
+#define MAX_UNDETECTED_PAUSE LB_SEC
 #define N_REMEMBERED_WRITES 8
-#define STALE_READ_RETRY (200 * LB_MSEC)
+#define STALE_READ_RETRY_DELAY (200 * LB_MSEC)
 
 struct LcLease
 {
@@ -74,7 +74,7 @@
 }
 
 static bool
-row_from_json (struct json_object *object, LcLeaseRow *row)
+lease_row_from_json (struct json_object *object, LcLeaseRow *row)
 {
   struct json_object *fence, *renewal, *released;
   const char *holder = lb_json_text (object, "holder", NULL);
@@ -97,7 +97,7 @@
 lc_lease_row_from_text (const char *text, LcLeaseRow *row)
 {
   struct json_object *object = json_tokener_parse (text);
-  bool ok = row_from_json (object, row);
+  bool ok = lease_row_from_json (object, row);
 
   json_object_put (object);
   return ok;
@@ -160,7 +160,7 @@
 {
   return write_started_at
          + (LbTime)(lease->settings.duration * (1 - lease->settings.max_clock_drift))
-         - SAFETY_MARGIN;
+         - EXPIRY_SAFETY_MARGIN;
 }
 
 /* Expiry of the lease for all but its holder: the longest duration, counted from the first read of
@@ -171,7 +171,7 @@
 {
   return lease->version_seen_at
          + (LbTime)(lease->settings.duration * (1 + lease->settings.max_clock_drift))
-         + SAFETY_MARGIN;
+         + EXPIRY_SAFETY_MARGIN;
 }
 
 static void
@@ -282,7 +282,7 @@
 
   lease->last_tick_at = now;
   lease->last_tick_wall = wall;
-  if (elapsed <= MAX_PAUSE && elapsed_wall - elapsed <= MAX_PAUSE)
+  if (elapsed <= MAX_UNDETECTED_PAUSE && elapsed_wall - elapsed <= MAX_UNDETECTED_PAUSE)
     return;
   if (lease->held)
     lb_metric_add (&metric_paused, 1);
@@ -338,7 +338,7 @@
     {
       /* A lagging replica still shows the row of the previous holder; acting on it would make the
        * holder drop its lease. */
-      lease->next_read_at = now + STALE_READ_RETRY;
+      lease->next_read_at = now + STALE_READ_RETRY_DELAY;
       return;
     }
   else
@@ -430,7 +430,8 @@
 {
   if (!lease->held || lease->needs_confirmation || lease->is_releasing || now >= lease->valid_until)
     return false;
-  if (now - lease->last_tick_at > MAX_PAUSE || are_orders_delayed_after_regain (lease, now))
+  if (now - lease->last_tick_at > MAX_UNDETECTED_PAUSE
+      || are_orders_delayed_after_regain (lease, now))
     return false;
   return !can_order_unfenced || now >= lease->gained_at + lease->settings.order_lifetime;
 }
--- a/packages/core/src/membership/lc-membership-connect.c
+++ b/packages/core/src/membership/lc-membership-connect.c
@@ -30,7 +30,7 @@
 }
 
 static bool
-has_own_name (const LcMembership *membership, const LcInstance *peer)
+has_same_name_as_self (const LcMembership *membership, const LcInstance *peer)
 {
   return strcmp (peer->name, membership->self.name) == 0;
 }
@@ -43,7 +43,7 @@
                              LbTime now,
                              LbList *actions)
 {
-  if (has_own_name (membership, peer))
+  if (has_same_name_as_self (membership, peer))
     return 0;
   LcPeerLink *link = lc_membership_add_link (membership, false, now);
   activate_opened_link (membership, link, peer, now, actions);
@@ -114,7 +114,7 @@
 
   if (!link)
     return;
-  if (has_own_name (membership, peer))
+  if (has_same_name_as_self (membership, peer))
     {
       lc_membership_close_link (membership, link, LB_OK, actions);
       return;
--- a/packages/core/src/membership/lc-membership-contacts.c
+++ b/packages/core/src/membership/lc-membership-contacts.c
@@ -5,8 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CONTACT_INTERVAL (5 * LB_SEC)
-#define CONTACT_INTERVAL_ALONE (300 * LB_MSEC)
+#define CONTACT_DIAL_INTERVAL (5 * LB_SEC)
+#define CONTACT_DIAL_INTERVAL_WITHOUT_LINKS (300 * LB_MSEC)
 
 static LcContact *
 find_contact (const LcMembership *membership, const char *address)
@@ -123,7 +123,8 @@
 
   if (now < membership->next_contact_at)
     return;
-  LbTime interval = has_no_open_link (membership) ? CONTACT_INTERVAL_ALONE : CONTACT_INTERVAL;
+  LbTime interval
+      = has_no_open_link (membership) ? CONTACT_DIAL_INTERVAL_WITHOUT_LINKS : CONTACT_DIAL_INTERVAL;
   membership->next_contact_at
       = now + (LbTime)((double)interval * (0.5 + gsl_rng_uniform (membership->rng)));
   LB_LIST_FOREACH (&membership->contacts, LcContact, link, contact)
--- a/packages/core/src/membership/lc-membership-heartbeat.c
+++ b/packages/core/src/membership/lc-membership-heartbeat.c
@@ -91,7 +91,7 @@
  * them would cost 131 KB/s at 350 instances. They get a heartbeat only after an unanswered frame or
  * a long silence. */
 static void
-update_link_watched (const LcMembership *membership, LcPeerLink *link, LbTime now)
+start_or_stop_watching_link (const LcMembership *membership, LcPeerLink *link, LbTime now)
 {
   bool is_watched = link->is_outgoing && lc_membership_is_watch_target (membership, link->name);
 
@@ -165,7 +165,7 @@
 
   HASH_ITER (hh, membership->links, link, next)
   {
-    update_link_watched (membership, link, now);
+    start_or_stop_watching_link (membership, link, now);
     bool timed_out = link->is_open ? has_link_timed_out (membership, link, now)
                                    : now - link->started_at >= membership->settings.dial_timeout;
     if (timed_out)
--- a/packages/core/src/membership/lc-membership-self.c
+++ b/packages/core/src/membership/lc-membership-self.c
@@ -1,7 +1,7 @@
 #include "lc-membership-private.h"
 
 #define LOAD_UPDATE_INTERVAL (60 * LB_SEC)
-#define LOAD_HYSTERESIS 75
+#define LOAD_HYSTERESIS_PER_MILLE 75
 
 /* Marks this instance as draining and broadcasts the mark at once: no caller must be sent to a
  * draining instance. */
@@ -27,8 +27,8 @@
   int64_t published = membership->self.load;
 
   if (now < membership->next_load_update_at
-      || (load < published + LC_INSTANCE_LOAD_STEP + LOAD_HYSTERESIS
-          && load >= published - LOAD_HYSTERESIS))
+      || (load < published + LC_INSTANCE_LOAD_STEP + LOAD_HYSTERESIS_PER_MILLE
+          && load >= published - LOAD_HYSTERESIS_PER_MILLE))
     return;
   int64_t step = load / LC_INSTANCE_LOAD_STEP * LC_INSTANCE_LOAD_STEP;
   membership->next_load_update_at = now + LOAD_UPDATE_INTERVAL;
--- a/packages/core/src/membership/lc-membership-updates.c
+++ b/packages/core/src/membership/lc-membership-updates.c
@@ -11,7 +11,7 @@
  * region is lost or returns, hundreds of updates would otherwise go to all connections at once. */
 #define MAX_UPDATES_PER_FLUSH 32
 #define FLUSH_PAUSE (100 * LB_MSEC)
-/* For this long after an incarnation became known, its updates are sent in full form, with
+/* For this long after an incarnation became known, updates about it are sent in full form, with
  * addresses, since peers may not know it yet. */
 #define FULL_FORM_TIME (10 * LB_SEC)
 #define CONFLICT_ANSWER_INTERVAL (5 * LB_SEC)
@@ -82,7 +82,7 @@
 }
 
 static void
-reset_for_new_epoch (LcMember *member, LbTime now)
+reset_member_for_new_epoch (LcMember *member, LbTime now)
 {
   member->epoch_learned_at = now;
   member->is_silent = false;
@@ -99,7 +99,7 @@
 
   member->instance = *update;
   HASH_ADD_STR (membership->members, instance.name, member);
-  reset_for_new_epoch (member, now);
+  reset_member_for_new_epoch (member, now);
   record_member_state_change (membership, member, now);
   return member;
 }
@@ -113,13 +113,16 @@
 }
 
 static void
-replace_instance (LcMembership *membership, LcMember *member, const LcInstance *update, LbTime now)
+replace_member_instance (LcMembership *membership,
+                         LcMember *member,
+                         const LcInstance *update,
+                         LbTime now)
 {
   LcInstance before = member->instance;
 
   member->instance = *update;
   if (update->epoch != before.epoch || strcmp (update->incarnation, before.incarnation) != 0)
-    reset_for_new_epoch (member, now);
+    reset_member_for_new_epoch (member, now);
   else if (before.state != LC_INSTANCE_ALIVE && update->state == LC_INSTANCE_ALIVE)
     ignore_suspicion_after_refutation (membership, member, now);
   if (before.state != update->state)
@@ -214,7 +217,7 @@
   if (!member)
     member = add_member (membership, &update, now);
   else if (lc_instance_supersedes (&update, &member->instance))
-    replace_instance (membership, member, &update, now);
+    replace_member_instance (membership, member, &update, now);
   else
     return;
   queue_member_update (membership, member, link, now);
@@ -323,10 +326,10 @@
  * of instances written, 0 or 1. A peer that knows the same epoch gets the update without
  * incarnation, data centre and addresses. */
 static size_t
-write_update_if_newer (const LcInstance *known,
-                       const LcInstance *summary,
-                       size_t n_summary,
-                       LcInstance *update)
+write_update_if_newer_than_summary (const LcInstance *known,
+                                    const LcInstance *summary,
+                                    size_t n_summary,
+                                    LcInstance *update)
 {
   const LcInstance *known_to_peer = find_instance (summary, n_summary, known->name);
 
@@ -349,9 +352,11 @@
   LcInstance *updates = LB_NEW_ARRAY (LcInstance, max_updates);
   size_t count = 0;
 
-  count += write_update_if_newer (&membership->self, summary, n_summary, &updates[count]);
+  count += write_update_if_newer_than_summary (&membership->self, summary, n_summary,
+                                               &updates[count]);
   for (LcMember *member = membership->members; member; member = member->hh.next)
-    count += write_update_if_newer (&member->instance, summary, n_summary, &updates[count]);
+    count += write_update_if_newer_than_summary (&member->instance, summary, n_summary,
+                                                 &updates[count]);
   LcMembershipAction *action = lc_membership_add_action (actions, LC_MEMBERSHIP_SEND);
   action->link = link;
   action->instances = updates;
--- a/packages/core/src/membership/lc-membership.c
+++ b/packages/core/src/membership/lc-membership.c
@@ -105,7 +105,7 @@
 /* Excludes a pause of this process from the silence of its peers. After a pause every peer looks
  * silent, although its frames wait unread, and all would be declared dead at once. */
 static void
-discount_own_pause (LcMembership *membership, LbTime now)
+discount_process_pause (LcMembership *membership, LbTime now)
 {
   LbTime pause = now - membership->last_tick_at;
 
@@ -131,7 +131,7 @@
 void
 lc_membership_tick (LcMembership *membership, LbTime now, LbList *actions)
 {
-  discount_own_pause (membership, now);
+  discount_process_pause (membership, now);
   lc_membership_tick_links (membership, now, actions);
   lc_membership_expire_members (membership, now);
   lc_membership_resolve_name_conflict (membership, now);
