--- a/packages/core/include/lc-catalog.h
+++ b/packages/core/include/lc-catalog.h
@@ -53,9 +53,9 @@
   char *value; /* state of the item as text; equal texts mean that the item is unchanged */
 } LcCatalogItem;
 
-/* Replaces this instance's own listing of one list and takes ownership of the items. prefix: start
- * of all item keys, "LIST:". store_clock_ms: the store's clock at the listing; 0: the listing does
- * not count in the age of the snapshot. */
+/* Replaces this instance's latest listing of all items with one key prefix and takes ownership of
+ * the items. prefix: start of all item keys, "LIST:". store_clock_ms: the store's clock at the
+ * listing; 0: the listing does not count in the age of the snapshot. */
 void lc_catalog_set_listing (LcCatalog *catalog,
                              const char *prefix,
                              LcCatalogItem *items,
--- a/packages/core/include/lc-detector.h
+++ b/packages/core/include/lc-detector.h
@@ -9,7 +9,7 @@
   LbTime last_arrival;
   double mean_gap_us;      /* moving average of the gaps between arrivals */
   double gap_deviation_us; /* moving average of the absolute deviation from mean_gap_us */
-  LbTime min_timeout;      /* bounds of the derived timeout */
+  LbTime min_timeout;      /* bounds of the timeout that is derived from the gaps */
   LbTime max_timeout;
 } LcDetector;
 
--- a/packages/core/include/lc-dispatch.h
+++ b/packages/core/include/lc-dispatch.h
@@ -167,8 +167,7 @@
 void lc_action_free (LcAction *action);
 
 /* Functions that give access to the state of an LcDispatch and append no actions. */
-/* Whether the current configuration contains a plain service (not a pool of engines) of this name.
- */
+/* Whether the current configuration contains a plain service, not a pool, of this name. */
 bool lc_dispatch_has_service (const LcDispatch *dispatch, const char *service);
 LbTime lc_dispatch_next_tick (const LcDispatch *dispatch);
 size_t lc_dispatch_count_requests_in_progress (const LcDispatch *dispatch);
--- a/packages/core/include/lc-membership.h
+++ b/packages/core/include/lc-membership.h
@@ -35,8 +35,8 @@
   LC_MEMBERSHIP_CHANGED    /* this instance's view of the members changed */
 } LcMembershipActionType;
 
-/* An action that the caller must carry out. A heartbeat (PING) carries only a digest
- * of the view, so its size does not depend on the number of members. */
+/* An action that the caller must carry out. A heartbeat (PING) carries only a digest of the view,
+ * so its size does not depend on the number of members. */
 typedef struct
 {
   LbLink link_in_list;
--- a/packages/core/src/dispatch/lc-candidates.c
+++ b/packages/core/src/dispatch/lc-candidates.c
@@ -44,7 +44,7 @@
 }
 
 static void
-ensure_capacity (LcCandidates *candidates, size_t n)
+ensure_candidate_capacity (LcCandidates *candidates, size_t n)
 {
   if (candidates->capacity >= n)
     return;
@@ -61,7 +61,7 @@
 }
 
 static bool
-is_avoided (const LcRouteQuery *query, const LcEndpoint *endpoint)
+is_endpoint_avoided (const LcRouteQuery *query, const LcEndpoint *endpoint)
 {
   for (size_t i = 0; i < query->n_avoid; i++)
     if (strcmp (query->avoid[i], endpoint->member.name) == 0)
@@ -107,7 +107,7 @@
     counts->old_weights++;
   else if (query->reported_since > 0 && summary->reported_at < query->reported_since)
     counts->outdated_reports++;
-  else if (inputs->strict && query->n_avoid > 0 && is_avoided (query, summary->endpoint))
+  else if (inputs->strict && query->n_avoid > 0 && is_endpoint_avoided (query, summary->endpoint))
     counts->avoided++;
   else if (inputs->strict && is_engine_too_slow (inputs, summary))
     counts->too_slow++;
@@ -121,7 +121,7 @@
 }
 
 static const char *
-reason_without_candidates (const FilterCounts *counts)
+find_reason_without_candidates (const FilterCounts *counts)
 {
   if (counts->total == 0)
     return "no-endpoint";
@@ -166,9 +166,9 @@
           .now = now };
   FilterCounts counts = { 0 };
 
-  ensure_capacity (candidates, group ? group->n_slots : 0);
+  ensure_candidate_capacity (candidates, group ? group->n_slots : 0);
   gather_group_candidates (candidates, endpoints, group, &inputs, &counts);
-  candidates->reason = candidates->n_items > 0 ? NULL : reason_without_candidates (&counts);
+  candidates->reason = candidates->n_items > 0 ? NULL : find_reason_without_candidates (&counts);
   if (query->kind != LC_KIND_SAMPLE || counts.eligible > 0 || counts.avoided + counts.too_slow == 0)
     return;
   /* If only avoided or slow engines remain, a sample gains nothing by waiting: it may use them. */
--- a/packages/core/src/dispatch/lc-candidates.h
+++ b/packages/core/src/dispatch/lc-candidates.h
@@ -11,7 +11,7 @@
   const LcEndpointSummary **summaries; /* summary of the endpoint of each item */
   size_t n_items;
   size_t capacity;
-  const char *reason; /* why there are no candidates; NULL if there are some */
+  const char *reason; /* why no endpoint can take the request; NULL if any can */
 } LcCandidates;
 
 void lc_candidates_clear (LcCandidates *candidates);
--- a/packages/core/src/dispatch/lc-dispatch.c
+++ b/packages/core/src/dispatch/lc-dispatch.c
@@ -211,12 +211,12 @@
 /* Returns LB_OK if a request may be queued, else the reason for its refusal: it can't start in time
  * or the queue is full. May drop a waiting request of lower rank to make room. */
 static LbErrorCode
-check_admission (LcDispatch *dispatch,
-                 LcPoolState *pool,
-                 const LcRequestSpec *spec,
-                 const LcQueueKey *key,
-                 LbTime now,
-                 LbList *actions)
+check_request_admission (LcDispatch *dispatch,
+                         LcPoolState *pool,
+                         const LcRequestSpec *spec,
+                         const LcQueueKey *key,
+                         LbTime now,
+                         LbList *actions)
 {
   LbTime latest = compute_start_deadline (dispatch, spec, now);
 
@@ -289,7 +289,7 @@
     .caller = spec->flow[0] ? spec->flow : spec->caller,
     .share = spec->share,
   };
-  LbErrorCode reason = check_admission (dispatch, pool, spec, &key, now, actions);
+  LbErrorCode reason = check_request_admission (dispatch, pool, spec, &key, now, actions);
 
   if (reason != LB_OK)
     return refuse_request (reason, lc_dispatch_compute_retry_after (dispatch, pool, &key, now),
--- a/packages/core/src/dispatch/lc-policies.h
+++ b/packages/core/src/dispatch/lc-policies.h
@@ -31,7 +31,7 @@
   LcRouter base;
   LcCandidates candidates;
   gsl_rng *rng;
-  uint64_t next_turn;    /* round-robin: counts decisions from a random start; 0: not started */
+  uint64_t next_turn;    /* round-robin: random start plus number of decisions; 0: not started */
   double *cached_shares; /* cached share of the prompt by LcEndpoint.slot; reset to 0 after a
                             decision */
   size_t n_cached_shares;
--- a/packages/core/src/dispatch/lc-queue.c
+++ b/packages/core/src/dispatch/lc-queue.c
@@ -8,7 +8,8 @@
 
 #define MAX_PRIORITY 10
 
-/* Position of a band in the order of sending. Compared member by member, smaller values first. */
+/* Position of a band in the order in which bands are served. Compared member by member, smaller
+ * values first. */
 typedef struct
 {
   int kind;
--- a/packages/core/src/dispatch/lc-queue.h
+++ b/packages/core/src/dispatch/lc-queue.h
@@ -32,8 +32,8 @@
   LcRequestKind kind;
   int organisation_priority;
   int priority;
-  const char *caller; /* name of the flow, of one or more callers */
-  double share;       /* weight in fair queueing among the flows of the kind; 0 means 1 */
+  const char *caller; /* name of the flow, which may combine several callers */
+  double share; /* weight of the flow in fair queueing among flows of the same kind; 0 means 1 */
 } LcQueueKey;
 
 LcQueue *lc_queue_new (void);
--- a/packages/core/src/endpoints/lc-batch-cost.h
+++ b/packages/core/src/endpoints/lc-batch-cost.h
@@ -10,7 +10,7 @@
   double mean_fill;
   double mean_token_seconds;
   double mean_fill_squared;
-  double mean_fill_token_seconds; /* mean of fill x token seconds */
+  double mean_fill_token_seconds; /* mean of the product of fill and seconds per token */
 } LcBatchCost;
 
 /* fill: share of the batch in use, 0..1; token_seconds: seconds per token of one stream. */
--- a/packages/core/src/endpoints/lc-concurrency.c
+++ b/packages/core/src/endpoints/lc-concurrency.c
@@ -9,8 +9,8 @@
  * the minimum by more than SLOW_FIRST_BYTE_EXTRA_SECONDS; smaller differences are noise. */
 #define SLOW_FIRST_BYTE_FACTOR 3.0
 #define SLOW_FIRST_BYTE_EXTRA_SECONDS 0.25
-/* Weight of each longer time to first byte in the minimum, so that the minimum rises when the
- * hardware gets slower. */
+/* Weight with which each longer time to first byte raises the minimum, so that the minimum follows
+ * hardware that gets slower. */
 #define MIN_FIRST_BYTE_RISE_WEIGHT 0.002
 /* Minimum time between two decreases of the limit: requests in flight together are delayed by the
  * same cause, which must decrease the limit only once. */
--- a/packages/core/src/endpoints/lc-concurrency.h
+++ b/packages/core/src/endpoints/lc-concurrency.h
@@ -10,7 +10,8 @@
 {
   double limit;
   double max;                    /* number of concurrent requests that the endpoint is sized for */
-  double min_first_byte_seconds; /* lowest time to the first byte, assumed without queueing */
+  double min_first_byte_seconds; /* lowest time to the first byte, taken as the time without
+                                    queueing */
   LbTime decreased_at;           /* time of the last decrease of the limit; 0: none */
 } LcConcurrency;
 
--- a/packages/core/src/endpoints/lc-endpoints.c
+++ b/packages/core/src/endpoints/lc-endpoints.c
@@ -275,7 +275,7 @@
 }
 
 /* Discards outdated stream paces of the group. A slow engine gets no requests while other engines
- * have capacity, so with its old pace kept its recovery would never be noticed. */
+ * have capacity, so if its old pace were kept, its recovery would never be noticed. */
 static void
 discard_outdated_group_paces (LcEndpointEntry *entry, LcEndpointGroup *group, LbTime now)
 {
--- a/packages/core/src/endpoints/lc-roster.c
+++ b/packages/core/src/endpoints/lc-roster.c
@@ -11,9 +11,9 @@
 /* A longer gap between two lists shows that the store was unavailable, at least to this instance.
  * The usual time between two lists is several times shorter. */
 #define MIN_OUTAGE_GAP (1500 * LB_MSEC)
-/* Time after an outage of the store during which unlisted endpoints are kept. Live endpoints renew
- * their expired registrations within two seconds of the store's recovery; the rest of this time is
- * for the next list, which contains the renewed registrations. */
+/* Time after an outage of the store during which endpoints missing in the list are kept. Live
+ * endpoints renew their expired registrations within two seconds of the store's recovery; the rest
+ * of this time is for the next list, which contains the renewed registrations. */
 #define OUTAGE_GRACE (2400 * LB_MSEC)
 /* Limits the load on the store: each list costs every instance one call. */
 #define MIN_LIST_PERIOD (400 * LB_MSEC)
--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -55,7 +55,7 @@
   int rank;
   TableRow *rows;
   /* Contents of the publisher's row, as last read. */
-  int64_t publisher_version; /* 0: there is none */
+  int64_t publisher_version; /* 0: the publisher's row is absent */
   LbName publisher;
   LbName publisher_incarnation;
   int64_t publisher_epoch; /* incremented by each new publisher */
@@ -70,7 +70,7 @@
                                   lc_catalog_new */
   /* Times of the snapshot, which is the rows as of the last complete listing. */
   LbTime snapshot_valid_at;
-  LbTime snapshot_received_at; /* 0: there is none */
+  LbTime snapshot_received_at; /* 0: there is no snapshot yet */
   /* State that is used only while this instance publishes. */
   Listing *listings;             /* hash table with one listing for each list */
   bool all_changes_written;      /* all changes of the listings are in writes that were prepared */
