--- a/packages/core/src/dispatch/lc-dispatch.c
+++ b/packages/core/src/dispatch/lc-dispatch.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define DEFAULT_POLICY "lentilspindle"
-#define DEFAULT_MAX_REPORT_AGE (2500 * LB_MSEC)
+#define DEFAULT_ROUTING_POLICY "lentilspindle"
+#define DEFAULT_MAX_LOAD_REPORT_AGE (2500 * LB_MSEC)
 #define DEFAULT_QUEUE_LIMIT 4096
 #define DRAIN_RETRY_AFTER (100 * LB_MSEC)
 
@@ -29,7 +29,7 @@
 LcDispatch *
 lc_dispatch_new (const LcDispatchSettings *settings)
 {
-  const char *policy = settings->policy[0] ? settings->policy : DEFAULT_POLICY;
+  const char *policy = settings->policy[0] ? settings->policy : DEFAULT_ROUTING_POLICY;
   LcRouter *router = lc_router_new (policy, settings->seed);
 
   if (!router)
@@ -39,7 +39,7 @@
 
   dispatch->settings = *settings;
   if (settings->max_report_age == 0)
-    dispatch->settings.max_report_age = DEFAULT_MAX_REPORT_AGE;
+    dispatch->settings.max_report_age = DEFAULT_MAX_LOAD_REPORT_AGE;
   dispatch->router = router;
   dispatch->endpoints = lc_endpoints_new ();
   dispatch->budgets = lc_retry_budgets_new (settings->retry_budget);
@@ -211,12 +211,12 @@
 /* Returns LB_OK if a request may be queued, else the reason for its refusal: it can't start in time
  * or the queue is full. May drop a waiting request of lower rank to make room. */
 static LbErrorCode
-check_admission (LcDispatch *dispatch,
-                 LcPoolState *pool,
-                 const LcRequestSpec *spec,
-                 const LcQueueKey *key,
-                 LbTime now,
-                 LbList *actions)
+check_request_admission (LcDispatch *dispatch,
+                         LcPoolState *pool,
+                         const LcRequestSpec *spec,
+                         const LcQueueKey *key,
+                         LbTime now,
+                         LbList *actions)
 {
   LbTime latest = compute_start_deadline (dispatch, spec, now);
 
@@ -289,7 +289,7 @@
     .caller = spec->flow[0] ? spec->flow : spec->caller,
     .share = spec->share,
   };
-  LbErrorCode reason = check_admission (dispatch, pool, spec, &key, now, actions);
+  LbErrorCode reason = check_request_admission (dispatch, pool, spec, &key, now, actions);
 
   if (reason != LB_OK)
     return refuse_request (reason, lc_dispatch_compute_retry_after (dispatch, pool, &key, now),
--- a/packages/core/src/dispatch/lc-policies.h
+++ b/packages/core/src/dispatch/lc-policies.h
@@ -31,14 +31,14 @@
   LcRouter base;
   LcCandidates candidates;
   gsl_rng *rng;
-  uint64_t next_turn;    /* round-robin: counts decisions from a random start; 0: not started */
+  uint64_t next_turn;    /* round-robin: random start plus number of decisions; 0: not started */
   double *cached_shares; /* cached share of the prompt by LcEndpoint.slot; reset to 0 after a
                             decision */
   size_t n_cached_shares;
   LcLoadCost *load_costs; /* load cost of each candidate */
   size_t n_load_costs;
-  /* Finish time policy: fill level of the last decision, relative to the level that filling all
-   * candidates gives. Start value of the next decision's iteration. */
+  /* Finish time policy: fill level of the last decision, divided by the level if all candidates
+   * were filled. The search for the next fill level starts from this ratio. */
   double level_ratio;
 };
 
