--- a/packages/node/include/ln-exchange.h
+++ b/packages/node/include/ln-exchange.h
@@ -22,15 +22,16 @@
 uint64_t ln_exchange_id (const LnExchange *exchange);
 const char *ln_exchange_method (const LnExchange *exchange);
 const char *ln_exchange_path (const LnExchange *exchange); /* path without the query */
-const char *ln_exchange_query (const LnExchange *exchange, const char *key); /* NULL: no such key */
+const char *ln_exchange_get_query_parameter (const LnExchange *exchange,
+                                             const char *key); /* NULL: no such key */
 const char *ln_exchange_header (const LnExchange *exchange, const char *name);
 /* Number of occurrences of the header in the request. */
-size_t ln_exchange_count_header (const LnExchange *exchange, const char *name);
+size_t ln_exchange_count_request_header (const LnExchange *exchange, const char *name);
 /* Returns the body, followed by a NUL that length does not count. */
 const char *ln_exchange_body (const LnExchange *exchange, size_t *length);
 const char *ln_exchange_caller_ip (const LnExchange *exchange);
 void ln_exchange_set_owner (LnExchange *exchange, LnTask *owner);
-void ln_exchange_set_header (LnExchange *exchange, const char *name, const char *value);
+void ln_exchange_set_reply_header (LnExchange *exchange, const char *name, const char *value);
 
 /* The ln_exchange_reply_ functions send the complete reply and free the exchange.
  * ln_exchange_reply_json takes ownership of object. */
--- a/packages/node/src/batch/ln-batch-call.c
+++ b/packages/node/src/batch/ln-batch-call.c
@@ -29,13 +29,13 @@
 }
 
 LpPlatform *
-ln_batch_call_platform (const LnBatchCall *call)
+ln_batch_call_get_platform (const LnBatchCall *call)
 {
   return call->batches->context->platform;
 }
 
 const LnDialect *
-ln_batch_call_dialect (const LnBatchCall *call)
+ln_batch_call_get_dialect (const LnBatchCall *call)
 {
   return call->batches->context->dialect;
 }
--- a/packages/node/src/batch/ln-batch-call.h
+++ b/packages/node/src/batch/ln-batch-call.h
@@ -50,8 +50,8 @@
 } LnBatchCall;
 
 void ln_batch_call_free (LnBatchCall *call);
-LpPlatform *ln_batch_call_platform (const LnBatchCall *call);
-const LnDialect *ln_batch_call_dialect (const LnBatchCall *call);
+LpPlatform *ln_batch_call_get_platform (const LnBatchCall *call);
+const LnDialect *ln_batch_call_get_dialect (const LnBatchCall *call);
 
 /* The functions ln_batch_call_reply and ln_batch_call_fail* reply to the caller and free the call.
  */
@@ -69,7 +69,7 @@
 void ln_batch_call_retry_or_fail (LnBatchCall *call);
 
 /* Defined in ln-batch-submit.c, which accepts new batches. */
-void ln_batch_submit (LnBatchCall *call, const LnInbound *in);
-void ln_batch_submit_retry (LnBatchCall *call);
+void ln_batch_submit_new_batch (LnBatchCall *call, const LnInbound *in);
+void ln_batch_submit_retry_store_writes (LnBatchCall *call);
 
 #endif
--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -56,8 +56,8 @@
 
   if (!batch)
     return;
-  char *text = ln_batch_call_dialect (call)->write_results (batch->head.n_items, call->position,
-                                                            results, n_results, &length);
+  char *text = ln_batch_call_get_dialect (call)->write_results (batch->head.n_items, call->position,
+                                                                results, n_results, &length);
   ln_batch_call_reply (call, 200, text, length, "application/json");
   free (text);
 }
@@ -100,8 +100,8 @@
   call->n_chunks = n_chunks;
   ln_batch_format_text_chunks_prefix (call->id, call->position, prefix);
   call->waits_for_store = true;
-  ln_batch_call_platform (call)->klass->list (ln_batch_call_platform (call), prefix, NULL, 0,
-                                              on_text_chunks_read, call);
+  ln_batch_call_get_platform (call)->klass->list (ln_batch_call_get_platform (call), prefix, NULL,
+                                                  0, on_text_chunks_read, call);
 }
 
 /* Replies with the results before the first one whose text is stored in chunks. If that is the
@@ -153,8 +153,9 @@
   ln_batch_format_result_prefix (call->id, prefix);
   snprintf (first_key, sizeof first_key, "%06lld", (long long)call->position);
   call->waits_for_store = true;
-  ln_batch_call_platform (call)->klass->list (ln_batch_call_platform (call), prefix, first_key,
-                                              MAX_RESULTS_PER_REPLY, on_result_rows_read, call);
+  ln_batch_call_get_platform (call)->klass->list (ln_batch_call_get_platform (call), prefix,
+                                                  first_key, MAX_RESULTS_PER_REPLY,
+                                                  on_result_rows_read, call);
 }
 
 /* --- reading the body of an item --- */
@@ -172,8 +173,8 @@
       return;
     }
   if (error == LB_OK
-      && !ln_batch_call_dialect (call)->read_batch (bytes, length, call->id, &call->spec,
-                                                    &parse_error))
+      && !ln_batch_call_get_dialect (call)->read_batch (bytes, length, call->id, &call->spec,
+                                                        &parse_error))
     error = parse_error.code;
   if (error != LB_OK)
     {
@@ -199,8 +200,8 @@
 
   ln_batch_format_content_key (call->id, key);
   call->waits_for_store = true;
-  ln_batch_call_platform (call)->klass->get_object (ln_batch_call_platform (call), key,
-                                                    on_batch_content_read, call);
+  ln_batch_call_get_platform (call)->klass->get_object (ln_batch_call_get_platform (call), key,
+                                                        on_batch_content_read, call);
 }
 
 /* --- ending a batch --- */
@@ -227,13 +228,13 @@
       ended = (LpRow){ .key = row->key,
                        .value = json_object_to_json_string (object),
                        .version = row->version };
-      ln_batch_heads_update_from_row (call->batches, &ended);
+      ln_batches_update_batch_from_row (call->batches, &ended);
       json_object_put (object);
       reply_batch_ended (call);
       return;
     }
   if (error == LB_ERROR_CONDITION_FAILED && row->value)
-    ln_batch_heads_update_from_row (call->batches, row);
+    ln_batches_update_batch_from_row (call->batches, row);
   ln_batch_call_retry_or_fail (call);
 }
 
@@ -256,8 +257,8 @@
   const LpPut put = { .key = key, .value = json_object_to_json_string (object) };
   ln_batch_format_row_key (call->id, key);
   call->waits_for_store = true;
-  ln_batch_heads_write_if_unchanged (batch, &put, 1, LP_PRIORITY_LEDGER, on_ended_row_written,
-                                     call);
+  ln_batch_write_rows_if_batch_row_unchanged (batch, &put, 1, LP_PRIORITY_LEDGER,
+                                              on_ended_row_written, call);
   json_object_put (object);
 }
 
@@ -269,7 +270,7 @@
   switch (call->kind)
     {
     case LN_BATCH_CALL_SUBMIT:
-      ln_batch_submit_retry (call);
+      ln_batch_submit_retry_store_writes (call);
       break;
     case LN_BATCH_CALL_RESULTS:
       read_result_rows (call);
@@ -296,7 +297,7 @@
       retry_without_organisation (call);
       return;
     }
-  if (error == LB_OK && n_rows > 0 && ln_batch_heads_update_from_row (call->batches, &rows[0]))
+  if (error == LB_OK && n_rows > 0 && ln_batches_update_batch_from_row (call->batches, &rows[0]))
     {
       dispatch_call_by_kind (call);
       return;
@@ -319,8 +320,8 @@
     }
   ln_batch_format_row_key (call->id, key);
   call->waits_for_store = true;
-  ln_batch_call_platform (call)->klass->get (ln_batch_call_platform (call), key, on_batch_row_read,
-                                             call);
+  ln_batch_call_get_platform (call)->klass->get (ln_batch_call_get_platform (call), key,
+                                                 on_batch_row_read, call);
 }
 
 static LnBatchCallKind
@@ -379,11 +380,11 @@
       reject_until_organisations_known (exchange);
       return false;
     }
-  ln_admission_check (batches->context, admission_state,
-                      is_public_submission (batches, exchange, in), in, admission);
+  ln_admission_check_request (batches->context, admission_state,
+                              is_public_submission (batches, exchange, in), in, admission);
   if (admission->error == LB_OK || call_kind_from_inbound (in->kind) != LN_BATCH_CALL_SUBMIT)
     return true;
-  ln_admission_refuse (exchange, admission_state, in, admission);
+  ln_admission_refuse_request (exchange, admission_state, in, admission);
   return false;
 }
 
@@ -426,7 +427,7 @@
         call, LB_ERROR_BAD_VALUE,
         "invalid batch id: it is empty or too long, contains '/' or ends in '~' and a hash", 0);
   else if (call->kind == LN_BATCH_CALL_SUBMIT)
-    ln_batch_submit (call, &in);
+    ln_batch_submit_new_batch (call, &in);
   else
     start_call (call);
 }
@@ -434,7 +435,7 @@
 /* Frees the call of a disconnected caller, unless the call waits for the store. A waiting
  * submission continues, because its write of the batch's row may already be in progress. */
 void
-ln_batch_calls_handle_disconnect (LnBatches *batches, LnExchange *exchange)
+ln_batch_calls_on_caller_disconnected (LnBatches *batches, LnExchange *exchange)
 {
   (void)batches;
   LnBatchCall *call = ln_exchange_user_data (exchange);
@@ -448,7 +449,7 @@
 }
 
 void
-ln_batch_calls_tick (LnBatches *batches, LbTime now)
+ln_batch_calls_retry_due_calls (LnBatches *batches, LbTime now)
 {
   LB_LIST_FOREACH (&batches->calls, LnBatchCall, link, call)
   {
--- a/packages/node/src/batch/ln-batch-cleanup.c
+++ b/packages/node/src/batch/ln-batch-cleanup.c
@@ -74,8 +74,8 @@
   const LpPut put = { .key = key };
 
   ln_batch_format_row_key (batch->id, key);
-  ln_batch_heads_write_if_unchanged (batch, &put, 1, LP_PRIORITY_STATUS, on_batch_row_removed,
-                                     batch);
+  ln_batch_write_rows_if_batch_row_unchanged (batch, &put, 1, LP_PRIORITY_STATUS,
+                                              on_batch_row_removed, batch);
 }
 
 static void
@@ -120,8 +120,8 @@
 
   for (size_t i = 0; i < n_rows; i++)
     puts[i] = (LpPut){ .key = rows[i].key };
-  ln_batch_heads_write_if_unchanged (batch, puts, n_rows, LP_PRIORITY_STATUS, on_rows_removed,
-                                     batch);
+  ln_batch_write_rows_if_batch_row_unchanged (batch, puts, n_rows, LP_PRIORITY_STATUS,
+                                              on_rows_removed, batch);
 }
 
 static void
@@ -178,14 +178,14 @@
       || now < batch->cleanup_retry_at || now < batch->ended_at + retention)
     return false;
   LbTime rank_delay
-      = (LbTime)ln_batch_heads_get_own_rank (batch, batch->id) * CLEANUP_DELAY_PER_RANK;
+      = (LbTime)ln_batch_get_rank_of_this_instance (batch, batch->id) * CLEANUP_DELAY_PER_RANK;
   return now >= batch->ended_at + retention + rank_delay;
 }
 
 /* Starts to remove an ended batch whose retention time is over. The store has no expiry and rejects
  * writes when it is full, so without the cleanup it would reject new batches after some hours. */
 void
-ln_batch_cleanup_tick (LnBatches *batches, LbTime now)
+ln_batch_cleanup_start_if_due (LnBatches *batches, LbTime now)
 {
   if (batches->cleanup_batch || batches->draining || batches->members_change_count == 0
       || !batches->context->platform->klass->remove_object)
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -93,7 +93,7 @@
     return;
   lb_log (LB_LOG_INFO, "batch_adopted", LB_TEXT ("batch", batch->id),
           LB_INT ("epoch", batch->head.epoch));
-  ln_batch_load (batch);
+  ln_batch_load_and_run (batch);
 }
 
 static bool
@@ -104,7 +104,7 @@
 }
 
 void
-ln_batch_heads_start_if_owned (LnBatch *batch)
+ln_batch_load_and_run_if_owned (LnBatch *batch)
 {
   if (batch->state == LN_BATCH_NOT_OWNED && is_owned_by_this_process (batch) && !batch->head.ended)
     load_owned_batch (batch);
@@ -141,11 +141,11 @@
   if (batch->state == LN_BATCH_NOT_OWNED && !is_owned_by_this_process (batch)
       && is_offered_to_this_instance (batch))
     claim_batch (batch);
-  ln_batch_heads_start_if_owned (batch);
+  ln_batch_load_and_run_if_owned (batch);
 }
 
 void
-ln_batch_heads_publish_demand (LnBatches *batches, const LcBatchHead *head)
+ln_batches_publish_token_demand (LnBatches *batches, const LcBatchHead *head)
 {
   static const char *const tasks[] = { "config", "duties" };
   LnDemandMessage message = { .base = LN_MESSAGE (LN_DEMAND),
@@ -162,7 +162,7 @@
 }
 
 bool
-ln_batch_heads_update_from_row (LnBatches *batches, const LpRow *row)
+ln_batches_update_batch_from_row (LnBatches *batches, const LpRow *row)
 {
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
   LcBatchHead head;
@@ -182,7 +182,7 @@
    * assigns engines to models would know only the demand of the few open batches, and would
    * reassign engines because of random differences between those batches. */
   if (batch->version == 0)
-    ln_batch_heads_publish_demand (batches, &head);
+    ln_batches_publish_token_demand (batches, &head);
   batch->head = head;
   batch->version = row->version;
   batch->version_seen_at = lb_clock_monotonic ();
@@ -297,7 +297,7 @@
 }
 
 size_t
-ln_batch_heads_get_own_rank (const LnBatch *batch, const char *duty)
+ln_batch_get_rank_of_this_instance (const LnBatch *batch, const char *duty)
 {
   size_t n;
   LcDutyCandidate *candidates = ln_batches_list_duty_candidates (batch->batches, &n);
@@ -332,19 +332,19 @@
   if (error == LB_OK)
     apply_written_row (batch, row->version);
   else if (error == LB_ERROR_CONDITION_FAILED && row->value)
-    ln_batch_heads_update_from_row (batch->batches, row);
+    ln_batches_update_batch_from_row (batch->batches, row);
   /* If the claim after an expired offer got no answer, the row still names this process. The batch
    * is then run here, because possibly no other instance was able to claim it. */
-  ln_batch_heads_start_if_owned (batch);
+  ln_batch_load_and_run_if_owned (batch);
 }
 
 void
-ln_batch_heads_write_if_unchanged (const LnBatch *batch,
-                                   const LpPut *puts,
-                                   size_t n_puts,
-                                   LpPriority priority,
-                                   LpTransactDone done,
-                                   void *user)
+ln_batch_write_rows_if_batch_row_unchanged (const LnBatch *batch,
+                                            const LpPut *puts,
+                                            size_t n_puts,
+                                            LpPriority priority,
+                                            LpTransactDone done,
+                                            void *user)
 {
   LpPlatform *platform = batch->batches->context->platform;
   char key[LN_BATCH_KEY_SIZE];
@@ -374,7 +374,8 @@
   for (size_t i = 0; i < n_more_puts; i++)
     puts[i + 1] = more_puts[i];
   ln_batch_format_row_key (batch->id, key);
-  ln_batch_heads_write_if_unchanged (batch, puts, n_more_puts + 1, LP_PRIORITY_LEDGER, done, batch);
+  ln_batch_write_rows_if_batch_row_unchanged (batch, puts, n_more_puts + 1, LP_PRIORITY_LEDGER,
+                                              done, batch);
   json_object_put (object);
 }
 
@@ -422,7 +423,8 @@
   if (batch->owner_gone_since == 0)
     batch->owner_gone_since = now;
   if (now - batch->owner_gone_since
-      >= (LbTime)ln_batch_heads_get_own_rank (batch, batch->head.model) * TAKEOVER_DELAY_PER_RANK)
+      >= (LbTime)ln_batch_get_rank_of_this_instance (batch, batch->head.model)
+             * TAKEOVER_DELAY_PER_RANK)
     claim_batch (batch);
 }
 
@@ -441,7 +443,7 @@
 /* Called on shutdown. With the owner cleared from the row, another instance can continue the batch
  * without first detecting that this instance is gone. */
 void
-ln_batch_heads_release_batch (LnBatch *batch)
+ln_batch_release_ownership (LnBatch *batch)
 {
   LcBatchHead head = batch->head;
 
@@ -473,7 +475,7 @@
 /* The offer has a timeout, after which this instance claims the batch itself: the preferred
  * instance may have been killed, and its death may not have been detected yet. */
 bool
-ln_batch_heads_offer_batch (LnBatch *batch, LbTime now)
+ln_batch_offer_to_preferred_instance (LnBatch *batch, LbTime now)
 {
   if (!batch->head.preferred_instance[0] || !lb_switch_is_on (LB_SWITCH_OFFERS)
       || strcmp (batch->head.preferred_instance, batch->batches->context->instance) == 0)
@@ -494,7 +496,7 @@
 
   if (row->value)
     {
-      ln_batch_heads_update_from_row (batches, row);
+      ln_batches_update_batch_from_row (batches, row);
       return;
     }
   batch = ln_batches_find (batches, row->key + strlen (BATCH_TABLE "/00/"));
@@ -510,7 +512,7 @@
 }
 
 void
-ln_batch_heads_start_watch (LnBatches *batches)
+ln_batches_start_row_watch (LnBatches *batches)
 {
   static const char *const prefixes[]
       = { BATCH_TABLE "/00/", BATCH_TABLE "/01/", BATCH_TABLE "/02/", BATCH_TABLE "/03/",
@@ -531,7 +533,7 @@
 }
 
 void
-ln_batch_heads_tick (LnBatches *batches, LbTime now)
+ln_batches_claim_unowned_and_tick_watch (LnBatches *batches, LbTime now)
 {
   for (LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
     claim_if_unowned_or_offer_expired (batch, now);
--- a/packages/node/src/batch/ln-batch-load.c
+++ b/packages/node/src/batch/ln-batch-load.c
@@ -136,7 +136,7 @@
 }
 
 void
-ln_batch_load (LnBatch *batch)
+ln_batch_load_and_run (LnBatch *batch)
 {
   LpPlatform *platform = batch->batches->context->platform;
   BatchLoad *load = LB_NEW (BatchLoad);
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -265,7 +265,7 @@
   bool unchanged = error == LB_OK && n_rows > 0 && rows[0].version == batch->version;
 
   if (error == LB_OK && n_rows > 0 && !unchanged)
-    ln_batch_heads_update_from_row (batch->batches, &rows[0]);
+    ln_batches_update_batch_from_row (batch->batches, &rows[0]);
   finish_results_write (write, unchanged);
 }
 
@@ -444,8 +444,8 @@
       = ln_batch_owner_build_checkpoint_puts (batch, action, puts, LN_BATCH_MAX_CHECKPOINT_PARTS);
 
   if (n > 0)
-    ln_batch_heads_write_if_unchanged (batch, puts, n, LP_PRIORITY_STATUS, on_checkpoint_written,
-                                       batch_write_new (batch));
+    ln_batch_write_rows_if_batch_row_unchanged (batch, puts, n, LP_PRIORITY_STATUS,
+                                                on_checkpoint_written, batch_write_new (batch));
   else
     lc_batch_finish_checkpoint (batch->run, true);
   ln_batch_owner_free_put_strings (puts, n);
@@ -497,9 +497,9 @@
 {
   const LcRoute *route = find_batch_route (batch);
   LcBatchSettings settings
-      = { .history = ln_batches_get_history (batch->batches, spec->model),
+      = { .history = ln_batches_get_model_history (batch->batches, spec->model),
           .text_cache = lb_switch_is_on (LB_SWITCH_CARRIED_TEXTS)
-                            ? ln_batches_get_text_cache (batch->batches, spec->model)
+                            ? ln_batches_get_model_text_cache (batch->batches, spec->model)
                             : NULL,
           .tokens_per_event = get_tokens_per_event (batch),
           .max_failures = route ? route->max_attempts : DEFAULT_MAX_ITEM_ATTEMPTS,
@@ -557,12 +557,12 @@
 }
 
 void
-ln_batch_owner_tick (LnBatch *batch, LbTime now)
+ln_batch_owner_run_due_actions (LnBatch *batch, LbTime now)
 {
   LbList actions;
 
   if (batch->state == LN_BATCH_LOADING && now >= batch->load_retry_at)
-    ln_batch_load (batch);
+    ln_batch_load_and_run (batch);
   if (batch->state != LN_BATCH_RUNNING || now < lc_batch_next_tick_at (batch->run))
     return;
   lb_list_init (&actions);
@@ -571,7 +571,7 @@
 }
 
 void
-ln_batch_owner_receive_piece (LnBatches *batches, const LnSamplePieceMessage *message)
+ln_batch_owner_receive_text_piece (LnBatches *batches, const LnSamplePieceMessage *message)
 {
   const LnBatchRequest *request = find_batch_request (batches, message->request);
 
--- a/packages/node/src/batch/ln-batch-submit.c
+++ b/packages/node/src/batch/ln-batch-submit.c
@@ -32,18 +32,18 @@
   lb_log (LB_LOG_INFO, "batch_accepted", LB_TEXT ("batch", call->id),
           LB_INT ("items", call->spec.n_items), LB_INT ("tries", call->failed_attempts));
   if (batch->version == 0)
-    ln_batch_heads_publish_demand (batches, &call->head);
+    ln_batches_publish_token_demand (batches, &call->head);
   if (version > batch->version)
     {
       batch->head = call->head;
       batch->version = version;
     }
   if (batch->state != LN_BATCH_NOT_OWNED || batch->version != version
-      || ln_batch_heads_offer_batch (batch, lb_clock_monotonic ()))
+      || ln_batch_offer_to_preferred_instance (batch, lb_clock_monotonic ()))
     return;
   ln_batch_owner_start_run (batch, &call->spec, &no_progress);
   if (batches->draining)
-    ln_batch_heads_release_batch (batch);
+    ln_batch_release_ownership (batch);
 }
 
 /* Reports OUTCOME_UNKNOWN if a write of the batch's row got no answer, because that write may still
@@ -76,10 +76,10 @@
     {
       /* This instance or another one has already accepted the batch. */
       if (row->value)
-        ln_batch_heads_update_from_row (call->batches, row);
+        ln_batches_update_batch_from_row (call->batches, row);
       /* Starts the batch if this instance owns it: an earlier attempt of the write may have taken
        * effect, and the watch may have shown the row while the last attempt was in progress. */
-      ln_batch_heads_start_if_owned (batch);
+      ln_batch_load_and_run_if_owned (batch);
       reply_batch_accepted (call);
     }
   else
@@ -87,7 +87,7 @@
       call->may_be_accepted |= error == LB_ERROR_STORE_UNKNOWN;
       if (!ln_batch_call_schedule_retry (call))
         {
-          ln_batch_heads_start_if_owned (batch);
+          ln_batch_load_and_run_if_owned (batch);
           fail_submission (call);
         }
     }
@@ -109,8 +109,9 @@
     batch->state = LN_BATCH_CLAIMING;
   ln_batch_format_row_key (call->id, key);
   call->waits_for_store = true;
-  ln_batch_call_platform (call)->klass->transact (ln_batch_call_platform (call), &transaction,
-                                                  LP_PRIORITY_LEDGER, on_batch_row_written, call);
+  ln_batch_call_get_platform (call)->klass->transact (ln_batch_call_get_platform (call),
+                                                      &transaction, LP_PRIORITY_LEDGER,
+                                                      on_batch_row_written, call);
   json_object_put (object);
 }
 
@@ -140,13 +141,13 @@
 
   ln_batch_format_content_key (call->id, key);
   call->waits_for_store = true;
-  ln_batch_call_platform (call)->klass->put_object (ln_batch_call_platform (call), key, call->body,
-                                                    call->body_length, on_batch_content_stored,
-                                                    call);
+  ln_batch_call_get_platform (call)->klass->put_object (ln_batch_call_get_platform (call), key,
+                                                        call->body, call->body_length,
+                                                        on_batch_content_stored, call);
 }
 
 void
-ln_batch_submit_retry (LnBatchCall *call)
+ln_batch_submit_retry_store_writes (LnBatchCall *call)
 {
   if (call->is_content_stored)
     create_batch_row (call);
@@ -208,7 +209,7 @@
 }
 
 void
-ln_batch_submit (LnBatchCall *call, const LnInbound *in)
+ln_batch_submit_new_batch (LnBatchCall *call, const LnInbound *in)
 {
   const LnContext *context = call->batches->context;
   const LnBatch *known = ln_batches_find (call->batches, call->id);
@@ -221,7 +222,7 @@
       reply_batch_accepted (call);
       return;
     }
-  if (!ln_batch_call_dialect (call)->read_batch (body, length, call->id, &call->spec, &error))
+  if (!ln_batch_call_get_dialect (call)->read_batch (body, length, call->id, &call->spec, &error))
     {
       ln_batch_call_fail (call, error.code, error.detail, 0);
       return;
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -122,8 +122,8 @@
 /* Tells the other tasks whether this instance owns any batch, if the value has changed. */
 void ln_batches_publish_ownership (LnBatches *batches, bool owns_any);
 LnBatch *ln_batches_find (LnBatches *batches, const char *id);
-LcBatchHistory *ln_batches_get_history (LnBatches *batches, const char *model);
-LcTextCache *ln_batches_get_text_cache (LnBatches *batches, const char *model);
+LcBatchHistory *ln_batches_get_model_history (LnBatches *batches, const char *model);
+LcTextCache *ln_batches_get_model_text_cache (LnBatches *batches, const char *model);
 LnBatch *ln_batches_find_or_create (LnBatches *batches, const char *id);
 void ln_batches_remove (LnBatch *batch);
 
@@ -141,30 +141,30 @@
 /* Prefix of the keys of the chunks of the text at one result position. */
 void ln_batch_format_text_chunks_prefix (const char *id, int64_t position, char *key);
 /* Returns the rank of this instance among the candidates for the duty; 0 is the first candidate. */
-size_t ln_batch_heads_get_own_rank (const LnBatch *batch, const char *duty);
+size_t ln_batch_get_rank_of_this_instance (const LnBatch *batch, const char *duty);
 /* Writes rows on the condition that the batch's row still has the version batch->version. */
-void ln_batch_heads_write_if_unchanged (const LnBatch *batch,
-                                        const LpPut *puts,
-                                        size_t n_puts,
-                                        LpPriority priority,
-                                        LpTransactDone done,
-                                        void *user);
+void ln_batch_write_rows_if_batch_row_unchanged (const LnBatch *batch,
+                                                 const LpPut *puts,
+                                                 size_t n_puts,
+                                                 LpPriority priority,
+                                                 LpTransactDone done,
+                                                 void *user);
 /* Posts the expected tokens of a new batch to the task "config", which assigns engines to models,
  * and to the task "duties", which scales services. */
-void ln_batch_heads_publish_demand (LnBatches *batches, const LcBatchHead *head);
+void ln_batches_publish_token_demand (LnBatches *batches, const LcBatchHead *head);
 /* Updates a batch from its row in the store, unless a newer version of the row is known. Returns
  * false if the row cannot be parsed. */
-bool ln_batch_heads_update_from_row (LnBatches *batches, const LpRow *row);
+bool ln_batches_update_batch_from_row (LnBatches *batches, const LpRow *row);
 /* Loads and then runs the batch if its row names this process as the owner and the batch does not
  * run yet. */
-void ln_batch_heads_start_if_owned (LnBatch *batch);
-void ln_batch_heads_start_watch (LnBatches *batches);
-void ln_batch_heads_tick (LnBatches *batches, LbTime now);
+void ln_batch_load_and_run_if_owned (LnBatch *batch);
+void ln_batches_start_row_watch (LnBatches *batches);
+void ln_batches_claim_unowned_and_tick_watch (LnBatches *batches, LbTime now);
 /* Saves the incomplete texts of a batch that this instance owns and clears the owner in its row. */
-void ln_batch_heads_release_batch (LnBatch *batch);
+void ln_batch_release_ownership (LnBatch *batch);
 /* Offers a batch that this instance accepted to the preferred instance. Returns false if offers
  * are disabled or no other instance is preferred; this instance then runs the batch. */
-bool ln_batch_heads_offer_batch (LnBatch *batch, LbTime now);
+bool ln_batch_offer_to_preferred_instance (LnBatch *batch, LbTime now);
 /* Returns the number of models that have an open batch assigned to the instance. */
 size_t ln_batches_count_assigned_models (const LnBatches *batches, const char *instance);
 /* Returns the live instances that may own batches, and their number in *n. The caller frees the
@@ -183,7 +183,7 @@
 bool ln_batch_text_part_from_row (const LpRow *row, LcBatchTextPart *part);
 
 /* Defined in ln-batch-load.c: reads the content and the saved progress of a batch, then runs it. */
-void ln_batch_load (LnBatch *batch);
+void ln_batch_load_and_run (LnBatch *batch);
 
 /* Defined in ln-batch-owner.c, which runs the batches that this instance owns. */
 void
@@ -198,17 +198,17 @@
 /* Frees the keys and values of n puts, but not the array. */
 void ln_batch_owner_free_put_strings (LpPut *puts, size_t n);
 void ln_batch_owner_stop_run (LnBatch *batch);
-void ln_batch_owner_tick (LnBatch *batch, LbTime now);
-void ln_batch_owner_receive_piece (LnBatches *batches, const LnSamplePieceMessage *message);
+void ln_batch_owner_run_due_actions (LnBatch *batch, LbTime now);
+void ln_batch_owner_receive_text_piece (LnBatches *batches, const LnSamplePieceMessage *message);
 void ln_batch_owner_finish_request (LnBatches *batches, const LnSampleDoneMessage *message);
 
 /* Defined in ln-batch-cleanup.c: removes ended batches from the store. */
-void ln_batch_cleanup_tick (LnBatches *batches, LbTime now);
+void ln_batch_cleanup_start_if_due (LnBatches *batches, LbTime now);
 
 /* Defined in ln-batch-calls.c, which serves callers' HTTP requests about batches. */
 void ln_batch_calls_receive_request (LnBatches *batches, LnExchange *exchange);
-void ln_batch_calls_handle_disconnect (LnBatches *batches, LnExchange *exchange);
-void ln_batch_calls_tick (LnBatches *batches, LbTime now);
+void ln_batch_calls_on_caller_disconnected (LnBatches *batches, LnExchange *exchange);
+void ln_batch_calls_retry_due_calls (LnBatches *batches, LbTime now);
 void ln_batch_calls_free_all (LnBatches *batches);
 
 #endif
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -49,13 +49,13 @@
 }
 
 LcBatchHistory *
-ln_batches_get_history (LnBatches *batches, const char *model)
+ln_batches_get_model_history (LnBatches *batches, const char *model)
 {
   return find_or_create_model_history (batches, model)->history;
 }
 
 LcTextCache *
-ln_batches_get_text_cache (LnBatches *batches, const char *model)
+ln_batches_get_model_text_cache (LnBatches *batches, const char *model)
 {
   return find_or_create_model_history (batches, model)->text_cache;
 }
@@ -116,7 +116,8 @@
       ln_batch_calls_receive_request (batches, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CALLER_DISCONNECTED:
-      ln_batch_calls_handle_disconnect (batches, ((const LnExchangeMessage *)message)->exchange);
+      ln_batch_calls_on_caller_disconnected (batches,
+                                             ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_DESIRED:
       ln_admission_state_update (&batches->admission_state, (const LnDesiredMessage *)message);
@@ -128,7 +129,7 @@
       update_members (batches, (const LnMembersMessage *)message);
       break;
     case LN_SAMPLE_PIECE:
-      ln_batch_owner_receive_piece (batches, (const LnSamplePieceMessage *)message);
+      ln_batch_owner_receive_text_piece (batches, (const LnSamplePieceMessage *)message);
       break;
     case LN_SAMPLE_DONE:
       ln_batch_owner_finish_request (batches, (const LnSampleDoneMessage *)message);
@@ -159,15 +160,15 @@
   bool owns_any = false;
 
   ln_stall_set_activity ("tick of rollouts");
-  ln_batch_heads_tick (batches, now);
+  ln_batches_claim_unowned_and_tick_watch (batches, now);
   for (LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
     {
-      ln_batch_owner_tick (batch, now);
+      ln_batch_owner_run_due_actions (batch, now);
       n_owned += batch->state == LN_BATCH_RUNNING;
       owns_any |= batch->state != LN_BATCH_NOT_OWNED && batch->state != LN_BATCH_RELEASING;
     }
-  ln_batch_calls_tick (batches, now);
-  ln_batch_cleanup_tick (batches, now);
+  ln_batch_calls_retry_due_calls (batches, now);
+  ln_batch_cleanup_start_if_due (batches, now);
   for (LnModelHistory *model = batches->model_histories; model; model = model->hh.next)
     lc_text_cache_expire (model->text_cache, now);
   lb_metric_set (&batches_owned, n_owned);
@@ -181,7 +182,7 @@
 
   batches->draining = true;
   for (LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
-    ln_batch_heads_release_batch (batch);
+    ln_batch_release_ownership (batch);
 }
 
 static bool
@@ -245,7 +246,7 @@
   batches->task.hub = context->hub;
   batches->context = context;
   lb_list_init (&batches->calls);
-  ln_batch_heads_start_watch (batches);
+  ln_batches_start_row_watch (batches);
   batches->tick
       = (LnPeriodicCall){ .period = TICK_INTERVAL, .callback = on_batches_tick, .user = batches };
   ln_ticker_add (ln_context_ticker (context), &batches->tick);
--- a/packages/node/src/calls/ln-admission.c
+++ b/packages/node/src/calls/ln-admission.c
@@ -18,11 +18,11 @@
 }
 
 void
-ln_admission_check (const LnContext *context,
-                    const LnAdmissionState *state,
-                    bool is_public,
-                    const LnInbound *inbound,
-                    LcAdmission *admission)
+ln_admission_check_request (const LnContext *context,
+                            const LnAdmissionState *state,
+                            bool is_public,
+                            const LnInbound *inbound,
+                            LcAdmission *admission)
 {
   const LnSettings *settings = context->settings;
   const LcAdmissionRules rules
@@ -37,10 +37,10 @@
 }
 
 void
-ln_admission_refuse (LnExchange *exchange,
-                     const LnAdmissionState *state,
-                     const LnInbound *inbound,
-                     const LcAdmission *admission)
+ln_admission_refuse_request (LnExchange *exchange,
+                             const LnAdmissionState *state,
+                             const LnInbound *inbound,
+                             const LcAdmission *admission)
 {
   LbTime age = lb_clock_monotonic () - state->confirmed_at;
   char key_log_id[LC_KEY_LOG_ID_SIZE] = "";
--- a/packages/node/src/calls/ln-admission.h
+++ b/packages/node/src/calls/ln-admission.h
@@ -20,15 +20,15 @@
 /* Replaces the desired state by the one in the message, which counts as confirmed now. */
 void ln_admission_state_update (LnAdmissionState *state, const LnDesiredMessage *message);
 
-void ln_admission_check (const LnContext *context,
-                         const LnAdmissionState *state,
-                         bool is_public,
-                         const LnInbound *inbound,
-                         LcAdmission *admission);
+void ln_admission_check_request (const LnContext *context,
+                                 const LnAdmissionState *state,
+                                 bool is_public,
+                                 const LnInbound *inbound,
+                                 LcAdmission *admission);
 /* Replies to a request that was not admitted with the error in admission; frees the exchange. */
-void ln_admission_refuse (LnExchange *exchange,
-                          const LnAdmissionState *state,
-                          const LnInbound *inbound,
-                          const LcAdmission *admission);
+void ln_admission_refuse_request (LnExchange *exchange,
+                                  const LnAdmissionState *state,
+                                  const LnInbound *inbound,
+                                  const LcAdmission *admission);
 
 #endif
--- a/packages/node/src/calls/ln-call-reader.c
+++ b/packages/node/src/calls/ln-call-reader.c
@@ -221,7 +221,7 @@
 {
   const char *name = ln_exchange_path (exchange) + strlen ("/services/");
   const char *slash = strchr (name, '/');
-  const char *query = ln_exchange_raw_query (exchange);
+  const char *query = ln_exchange_get_raw_query (exchange);
   size_t name_length = slash ? (size_t)(slash - name) : strlen (name);
   size_t length;
 
@@ -235,7 +235,7 @@
   const char *body = ln_exchange_body (exchange, &length);
   call->raw_body = lb_memdup (body, length + 1);
   call->raw_length = length;
-  ln_exchange_foreach_header (exchange, add_header_to_call, call);
+  ln_exchange_foreach_request_header (exchange, add_header_to_call, call);
   call->spec.repeatable
       = is_idempotent_method (call->method) || is_flag_header_set (exchange, "x-repeatable");
   call->spec.expected_tokens = 1;
--- a/packages/node/src/calls/ln-call.c
+++ b/packages/node/src/calls/ln-call.c
@@ -57,13 +57,13 @@
 }
 
 const char *
-ln_call_engine_path (const LnCall *call)
+ln_call_get_engine_path (const LnCall *call)
 {
   return call->kind == LN_CALL_CHAT ? "/v1/chat/completions" : "/v1/completions";
 }
 
 LcFingerprint
-ln_call_fingerprint (const LnCall *call)
+ln_call_compute_fingerprint (const LnCall *call)
 {
   const LcOutgoingRequest *outgoing = &call->outgoing;
   const char *text = NULL;
@@ -75,8 +75,8 @@
     return lc_fingerprint_of_request (call->organisation, call->method, NULL, call->path,
                                       call->raw_body, call->raw_length);
   text = json_object_to_json_string_ext (call->body, JSON_FORMAT_FLAGS);
-  return lc_fingerprint_of_request (call->organisation, "POST", NULL, ln_call_engine_path (call),
-                                    text, strlen (text));
+  return lc_fingerprint_of_request (call->organisation, "POST", NULL,
+                                    ln_call_get_engine_path (call), text, strlen (text));
 }
 
 static struct json_object *
@@ -132,7 +132,7 @@
 {
   LB_LIST_FOREACH (&call->attempts, LnAttempt, link, attempt)
   {
-    if (ln_upstream_attempt_number (attempt->upstream) == number)
+    if (ln_upstream_get_attempt_number (attempt->upstream) == number)
       return attempt;
   }
   return NULL;
@@ -194,8 +194,8 @@
 start_reply_stream (LnCall *call, const char *endpoint)
 {
   call->is_stream_started = true;
-  ln_exchange_set_header (call->exchange, "x-endpoint", endpoint);
-  ln_exchange_set_header (call->exchange, "Cache-Control", "no-cache");
+  ln_exchange_set_reply_header (call->exchange, "x-endpoint", endpoint);
+  ln_exchange_set_reply_header (call->exchange, "Cache-Control", "no-cache");
   ln_exchange_start_stream (call->exchange, 200, "text/event-stream");
 }
 
@@ -239,7 +239,7 @@
     used += (size_t)snprintf (text + used, sizeof text - used, "%s%lld", i > 0 ? "," : "",
                               (long long)attempt->versions[i]);
   if (used > 0)
-    ln_exchange_set_header (exchange, "x-weight-versions", text);
+    ln_exchange_set_reply_header (exchange, "x-weight-versions", text);
 }
 
 static struct json_object *
@@ -284,7 +284,8 @@
 static void
 reply_with_completion (LnCall *call, LnAttempt *winner)
 {
-  ln_exchange_set_header (call->exchange, "x-endpoint", ln_upstream_endpoint (winner->upstream));
+  ln_exchange_set_reply_header (call->exchange, "x-endpoint",
+                                ln_upstream_get_endpoint_name (winner->upstream));
   set_weight_versions_header (call->exchange, winner);
   ln_exchange_reply_json (call->exchange, 200, make_completion_object (call, winner));
 }
@@ -307,21 +308,22 @@
 forward_header_to_caller (const char *name, const char *value, void *user)
 {
   if (!ln_is_hop_by_hop_header (name))
-    ln_exchange_set_header (user, name, value);
+    ln_exchange_set_reply_header (user, name, value);
 }
 
 static void
 forward_service_reply (LnCall *call, LnAttempt *winner)
 {
   size_t length;
-  const char *body = ln_upstream_body (winner->upstream, &length);
+  const char *body = ln_upstream_get_reply_body (winner->upstream, &length);
 
   lh_fetch_visit_response_headers (ln_upstream_get_fetch (winner->upstream),
                                    forward_header_to_caller, call->exchange);
   if (!call->outgoing.path)
-    ln_exchange_set_header (call->exchange, "x-endpoint", ln_upstream_endpoint (winner->upstream));
-  ln_exchange_reply_text (call->exchange, ln_upstream_status (winner->upstream), NULL, body,
-                          length);
+    ln_exchange_set_reply_header (call->exchange, "x-endpoint",
+                                  ln_upstream_get_endpoint_name (winner->upstream));
+  ln_exchange_reply_text (call->exchange, ln_upstream_get_http_status (winner->upstream), NULL,
+                          body, length);
 }
 
 static const char end_event[] = "data: [DONE]\n\n";
@@ -331,9 +333,9 @@
 {
   const char *type
       = lh_fetch_get_response_header (ln_upstream_get_fetch (winner->upstream), "Content-Type");
-  const char *body = ln_upstream_body (winner->upstream, &answer->length);
+  const char *body = ln_upstream_get_reply_body (winner->upstream, &answer->length);
 
-  answer->status = ln_upstream_status (winner->upstream);
+  answer->status = ln_upstream_get_http_status (winner->upstream);
   LB_COPY (answer->content_type, type ? type : "");
   answer->body = lb_memdup (body, answer->length);
 }
--- a/packages/node/src/calls/ln-call.h
+++ b/packages/node/src/calls/ln-call.h
@@ -82,9 +82,9 @@
 void ln_call_free (LnCall *call);
 bool ln_call_is_for_engine (const LnCall *call);
 /* Path of the engine's API that serves the call. Not used with a dialect. */
-const char *ln_call_engine_path (const LnCall *call);
+const char *ln_call_get_engine_path (const LnCall *call);
 /* Fingerprint of the request. Call it before the first attempt, which modifies the body. */
-LcFingerprint ln_call_fingerprint (const LnCall *call);
+LcFingerprint ln_call_compute_fingerprint (const LnCall *call);
 /* Formats the JSON body of an attempt that starts at token resume_at; the caller frees it. */
 char *ln_call_format_engine_body (LnCall *call, const char *stream_id, int64_t resume_at);
 
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -57,7 +57,8 @@
                          LcVersion version)
 {
   LcEndpoints *endpoints = lc_dispatch_get_endpoints (calls->dispatch);
-  const LcEndpoint *endpoint = lc_endpoints_find (endpoints, ln_upstream_endpoint (upstream));
+  const LcEndpoint *endpoint
+      = lc_endpoints_find (endpoints, ln_upstream_get_endpoint_name (upstream));
   LcLoadReport report = { 0 };
 
   if (!endpoint || version <= 0 || endpoint->report.version == version
@@ -88,8 +89,8 @@
   if (calls->context->dialect)
     record_reported_version (calls, call, upstream, piece->version);
   LcPieceVerdict verdict = lc_dispatch_receive_piece (calls->dispatch, call->spec.id,
-                                                      ln_upstream_attempt_number (upstream), piece,
-                                                      lb_clock_monotonic (), &actions);
+                                                      ln_upstream_get_attempt_number (upstream),
+                                                      piece, lb_clock_monotonic (), &actions);
   if (verdict == LC_PIECE_DROP)
     lb_metric_add (&pieces_dropped, 1);
   else
@@ -98,9 +99,10 @@
       if (call->spec.delivery == LC_DELIVER_STREAM && !calls->context->dialect)
         evbuffer_add (call->sent_text, text, strlen (text));
       if (call->wants_stream)
-        ln_call_forward_event (call, event, ln_upstream_endpoint (upstream));
+        ln_call_forward_event (call, event, ln_upstream_get_endpoint_name (upstream));
       else if (call->kind == LN_CALL_SAMPLE && call->spec.delivery == LC_DELIVER_STREAM)
-        ln_calls_post_sample_piece (calls, call, piece, ln_upstream_endpoint (upstream), text);
+        ln_calls_post_sample_piece (calls, call, piece, ln_upstream_get_endpoint_name (upstream),
+                                    text);
     }
   ln_calls_perform_actions (calls, &actions);
 }
@@ -122,10 +124,10 @@
   lb_log (LB_LOG_INFO, "attempt_ended", LB_INT ("request", call->spec.id),
           LB_TEXT ("id", call->outgoing.id), LB_TEXT ("caller", call->spec.caller),
           LB_TEXT ("content", content),
-          LB_INT ("attempt", ln_upstream_attempt_number (attempt->upstream)),
-          LB_TEXT ("endpoint", ln_upstream_endpoint (attempt->upstream)),
+          LB_INT ("attempt", ln_upstream_get_attempt_number (attempt->upstream)),
+          LB_TEXT ("endpoint", ln_upstream_get_endpoint_name (attempt->upstream)),
           LB_TEXT ("outcome", names[end]),
-          LB_INT ("status", ln_upstream_status (attempt->upstream)),
+          LB_INT ("status", ln_upstream_get_http_status (attempt->upstream)),
           LB_INT ("pieces", attempt->tokens),
           LB_INT ("took_us", lb_clock_monotonic () - attempt->sent_at));
 }
@@ -150,7 +152,7 @@
 record_reported_load (LnCalls *calls, const LnCall *call, const LnUpstream *upstream)
 {
   const LcEndpoint *endpoint = lc_endpoints_find (lc_dispatch_get_endpoints (calls->dispatch),
-                                                  ln_upstream_endpoint (upstream));
+                                                  ln_upstream_get_endpoint_name (upstream));
   LcLoadReport report = { 0 };
   LnReportedLoad load;
 
@@ -174,7 +176,7 @@
 /* Counts the call once in its organisation's usage, at the start of its first attempt that was not
  * refused, since a plain service starts work on an accepted request at once. */
 void
-ln_calls_count_usage (LnCalls *calls, const LnAttempt *attempt)
+ln_calls_count_call_in_usage (LnCalls *calls, const LnAttempt *attempt)
 {
   LnCall *call = attempt->call;
   LnTask *duties = ln_hub_find_task (calls->task.hub, "duties");
@@ -190,13 +192,13 @@
 
 /* Counts a running call, since the usage report for its start time may be due before it ends. */
 void
-ln_calls_count_usage_of_running_call (LnCalls *calls, LnCall *call, LbTime now)
+ln_calls_count_running_call_in_usage (LnCalls *calls, LnCall *call, LbTime now)
 {
   LB_LIST_FOREACH (&call->attempts, LnAttempt, link, attempt)
   {
     if (now - attempt->sent_at >= ATTEMPT_STARTED_AFTER)
       {
-        ln_calls_count_usage (calls, attempt);
+        ln_calls_count_call_in_usage (calls, attempt);
         return;
       }
   }
@@ -219,8 +221,8 @@
   bool is_resumed = attempt->tokens > 0 && spec->resumable && spec->delivery == LC_DELIVER_STREAM;
 
   if (end == LC_END_BROKEN && !is_resumed && ln_upstream_has_lost_connection (upstream))
-    ln_endpoint_checks_request_failed (calls->checks, ln_upstream_endpoint (upstream),
-                                       ln_upstream_address (upstream), spec->content);
+    ln_endpoint_checks_request_failed (calls->checks, ln_upstream_get_endpoint_name (upstream),
+                                       ln_upstream_get_endpoint_address (upstream), spec->content);
 }
 
 /* Keeps the attempt until the resulting actions are performed, since a FINISH action takes the
@@ -235,20 +237,20 @@
 
   lb_list_init (&actions);
   record_reported_load (calls, call, upstream);
-  update_idle_connection_count (calls, ln_upstream_endpoint (upstream));
+  update_idle_connection_count (calls, ln_upstream_get_endpoint_name (upstream));
   lb_list_remove (&call->attempts, &attempt->link);
   call->ended_attempt = attempt;
   log_attempt_end (attempt, end);
   if (attempt_may_have_run (end))
-    ln_calls_count_usage (calls, attempt);
+    ln_calls_count_call_in_usage (calls, attempt);
   report_broken_attempt_to_checks (calls, attempt, end);
   LcRequestId id = call->spec.id;
-  lc_dispatch_record_attempt_end (calls->dispatch, id, ln_upstream_attempt_number (upstream), end,
-                                  lb_clock_monotonic (), &actions);
+  lc_dispatch_record_attempt_end (calls->dispatch, id, ln_upstream_get_attempt_number (upstream),
+                                  end, lb_clock_monotonic (), &actions);
   ln_calls_perform_actions (calls, &actions);
   ln_crashes_publish_clearances (calls->crashes);
   if (end == LC_END_REFUSED_LEAVING)
-    ln_calls_broadcast_endpoint_leaving (calls, ln_upstream_endpoint (upstream));
+    ln_calls_broadcast_endpoint_leaving (calls, ln_upstream_get_endpoint_name (upstream));
   call = ln_calls_find (calls, id);
   if (call)
     call->ended_attempt = NULL;
@@ -273,7 +275,7 @@
           .endpoint = action->endpoint,
           .address = action->address,
           .method = "POST",
-          .path = ln_call_engine_path (call),
+          .path = ln_call_get_engine_path (call),
           .headers = headers,
           .n_headers = 1,
           .body = body,
--- a/packages/node/src/calls/ln-calls-private.h
+++ b/packages/node/src/calls/ln-calls-private.h
@@ -64,9 +64,9 @@
                                  const char *endpoint,
                                  const char *text);
 /* Counts the attempt's call in the usage of its organisation. A call is counted only once. */
-void ln_calls_count_usage (LnCalls *calls, const LnAttempt *attempt);
+void ln_calls_count_call_in_usage (LnCalls *calls, const LnAttempt *attempt);
 /* Counts a running call if one of its attempts has run long enough to be considered started. */
-void ln_calls_count_usage_of_running_call (LnCalls *calls, LnCall *call, LbTime now);
+void ln_calls_count_running_call_in_usage (LnCalls *calls, LnCall *call, LbTime now);
 
 /* ln-calls.c: notifies the other instances if the endpoint is leaving (about to stop) */
 void ln_calls_broadcast_endpoint_leaving (LnCalls *calls, const char *endpoint);
@@ -80,7 +80,7 @@
 void ln_calls_set_other_instance_headers (LnCalls *calls, LnExchange *exchange, LbErrorCode code);
 
 /* ln-routed.c: handles a caller's request on a shared platform, by the platform's routes */
-void ln_routed_handle_request (LnCalls *calls, LnExchange *exchange);
+void ln_routed_handle_platform_request (LnCalls *calls, LnExchange *exchange);
 /* Fails queued calls whose API key the current desired state no longer contains. */
 void ln_routed_fail_calls_with_revoked_key (LnCalls *calls);
 
--- a/packages/node/src/calls/ln-calls-requests.c
+++ b/packages/node/src/calls/ln-calls-requests.c
@@ -23,10 +23,10 @@
 
   if (code != LB_ERROR_DRAINING && code != LB_ERROR_NOT_READY)
     return;
-  ln_exchange_set_header (exchange, "x-entry-stale", "1");
-  ln_relays_list_addresses (calls->relays, addresses, sizeof addresses);
+  ln_exchange_set_reply_header (exchange, "x-entry-stale", "1");
+  ln_relays_list_other_instance_addresses (calls->relays, addresses, sizeof addresses);
   if (addresses[0])
-    ln_exchange_set_header (exchange, "x-entry", addresses);
+    ln_exchange_set_reply_header (exchange, "x-entry", addresses);
 }
 
 static void
@@ -79,7 +79,7 @@
 static uint64_t
 hash_request (const LnExchange *exchange)
 {
-  const char *query = ln_exchange_raw_query (exchange);
+  const char *query = ln_exchange_get_raw_query (exchange);
   size_t length;
   const char *body = ln_exchange_body (exchange, &length);
   uint64_t hash = XXH3_64bits (body, length);
@@ -102,7 +102,7 @@
                                  .caller = call->spec.caller,
                                  .deadline = call->spec.deadline };
 
-  ln_relays_forward (calls->relays, call->exchange, &target);
+  ln_relays_forward_request (calls->relays, call->exchange, &target);
 }
 
 static void
@@ -188,9 +188,9 @@
       ln_call_free (call);
       return;
     }
-  ln_claims_claim_key (calls->claims, call->spec.caller, key, ticket,
-                       call->spec.deadline + TICKET_LIFETIME_MS * LB_MSEC,
-                       on_idempotency_key_claimed, call);
+  ln_claims_claim_idempotency_key (calls->claims, call->spec.caller, key, ticket,
+                                   call->spec.deadline + TICKET_LIFETIME_MS * LB_MSEC,
+                                   on_idempotency_key_claimed, call);
 }
 
 static LnCall *
@@ -214,7 +214,7 @@
   snprintf (call->stream_id, sizeof call->stream_id, "cmpl-%s-%llu", calls->context->incarnation,
             (unsigned long long)call->spec.id);
   LB_COPY (call->outgoing.id, call->stream_id);
-  ln_exchange_set_header (exchange, "x-request-id", call->outgoing.id);
+  ln_exchange_set_reply_header (exchange, "x-request-id", call->outgoing.id);
   ln_exchange_set_user_data (exchange, call);
   return call;
 }
@@ -237,7 +237,7 @@
 
   if (calls->context->dialect)
     {
-      ln_routed_handle_request (calls, exchange);
+      ln_routed_handle_platform_request (calls, exchange);
       return;
     }
   /* An unconfirmed configuration may be outdated and route calls to endpoints that were replaced.
--- a/packages/node/src/calls/ln-calls-run.c
+++ b/packages/node/src/calls/ln-calls-run.c
@@ -164,7 +164,7 @@
 
   if (!attempt)
     return;
-  ln_calls_count_usage (calls, attempt);
+  ln_calls_count_call_in_usage (calls, attempt);
   ln_upstream_cancel (attempt->upstream);
   ln_attempt_free (attempt);
 }
@@ -197,7 +197,8 @@
     }
   if (call->kind == LN_CALL_SCORE)
     {
-      const char *body = code == LB_OK ? ln_upstream_body (winner->upstream, &length) : "";
+      const char *body
+          = code == LB_OK ? ln_upstream_get_reply_body (winner->upstream, &length) : "";
       ln_calls_post_sample_done (calls, call->spec.id, code,
                                  lb_strndup (body, code == LB_OK ? length : 0));
       return;
@@ -207,7 +208,7 @@
       text = winner->text;
       for (size_t i = 0; i < winner->n_pieces; i++)
         ln_calls_post_sample_piece (calls, call, &winner->pieces[i],
-                                    ln_upstream_endpoint (winner->upstream), "");
+                                    ln_upstream_get_endpoint_name (winner->upstream), "");
     }
   ln_calls_post_sample_done (calls, call->spec.id, code, copy_buffer_text (text));
 }
@@ -302,7 +303,7 @@
   call->owner = calls;
   call->is_submitted = true;
   call->submitted_at = lb_clock_monotonic ();
-  call->spec.content = ln_call_fingerprint (call);
+  call->spec.content = ln_call_compute_fingerprint (call);
   add_call (calls, call);
   if (lc_dispatch_submit (calls->dispatch, &call->spec, lb_clock_monotonic (), &actions,
                           &retry_after, &error))
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -369,7 +369,7 @@
   LB_LIST_FOREACH (&calls->active_calls, LnCall, link, call)
   {
     ln_call_send_keep_alive (call, now - KEEP_ALIVE_PERIOD, now);
-    ln_calls_count_usage_of_running_call (calls, call, now);
+    ln_calls_count_running_call_in_usage (calls, call, now);
   }
 }
 
--- a/packages/node/src/calls/ln-claims.c
+++ b/packages/node/src/calls/ln-claims.c
@@ -231,13 +231,13 @@
 }
 
 void
-ln_claims_claim_key (LnClaims *claims,
-                     const char *caller,
-                     const char *key,
-                     const char *ticket,
-                     LbTime expires_at,
-                     LnClaimHandler on_done,
-                     void *user)
+ln_claims_claim_idempotency_key (LnClaims *claims,
+                                 const char *caller,
+                                 const char *key,
+                                 const char *ticket,
+                                 LbTime expires_at,
+                                 LnClaimHandler on_done,
+                                 void *user)
 {
   Claim *claim = LB_NEW (Claim);
   char token[LB_NAME_MAX + 40];
--- a/packages/node/src/calls/ln-relay.c
+++ b/packages/node/src/calls/ln-relay.c
@@ -97,7 +97,7 @@
 }
 
 void
-ln_relays_list_addresses (const LnRelays *relays, char *text, size_t size)
+ln_relays_list_other_instance_addresses (const LnRelays *relays, char *text, size_t size)
 {
   size_t used = 0;
   int n_addresses = 0;
@@ -144,7 +144,7 @@
 forward_header_to_caller (const char *name, const char *value, void *user)
 {
   if (!ln_is_hop_by_hop_header (name))
-    ln_exchange_set_header (user, name, value);
+    ln_exchange_set_reply_header (user, name, value);
 }
 
 static void
@@ -201,7 +201,7 @@
                      LbError *error)
 {
   static const LhHandlers handlers = { .on_done = on_relay_done };
-  const char *query = ln_exchange_raw_query (relay->exchange);
+  const char *query = ln_exchange_get_raw_query (relay->exchange);
   LbTime time_left = target->deadline - lb_clock_monotonic ();
   char time_left_ms[32];
   size_t length;
@@ -211,7 +211,7 @@
 
   snprintf (time_left_ms, sizeof time_left_ms, "%lld",
             (long long)(time_left > 0 ? time_left / LB_MSEC : 0));
-  ln_exchange_foreach_header (relay->exchange, copy_forwarded_header, &headers);
+  ln_exchange_foreach_request_header (relay->exchange, copy_forwarded_header, &headers);
   append_header (&headers, "x-ticket", target->ticket);
   append_header (&headers, "x-caller", target->caller);
   append_header (&headers, "x-deadline-ms", time_left_ms);
@@ -233,7 +233,7 @@
 }
 
 void
-ln_relays_forward (LnRelays *relays, LnExchange *exchange, const LnRelayTarget *target)
+ln_relays_forward_request (LnRelays *relays, LnExchange *exchange, const LnRelayTarget *target)
 {
   static const LnExchangeHandlerClass relay_class
       = { .on_caller_disconnected = on_caller_disconnected };
--- a/packages/node/src/calls/ln-relay.h
+++ b/packages/node/src/calls/ln-relay.h
@@ -21,9 +21,10 @@
 void ln_relays_set_members (LnRelays *relays, const LnMembersMessage *message);
 bool ln_relays_is_idle (const LnRelays *relays);
 /* Takes ownership of the exchange and always replies to it. */
-void ln_relays_forward (LnRelays *relays, LnExchange *exchange, const LnRelayTarget *target);
+void
+ln_relays_forward_request (LnRelays *relays, LnExchange *exchange, const LnRelayTarget *target);
 /* Writes the addresses of other live instances, separated by commas, for a caller that this
  * instance refuses; "" if none is known. */
-void ln_relays_list_addresses (const LnRelays *relays, char *text, size_t size);
+void ln_relays_list_other_instance_addresses (const LnRelays *relays, char *text, size_t size);
 
 #endif
--- a/packages/node/src/calls/ln-routed.c
+++ b/packages/node/src/calls/ln-routed.c
@@ -55,7 +55,7 @@
                       const LnInbound *inbound)
 {
   HeaderCopy copy = { .dialect = calls->context->dialect, .outgoing = &call->outgoing };
-  const char *query = ln_exchange_raw_query (exchange);
+  const char *query = ln_exchange_get_raw_query (exchange);
   size_t length;
   const char *body = ln_exchange_body (exchange, &length);
 
@@ -66,7 +66,7 @@
   call->outgoing.host = lb_strdup (inbound->host);
   call->outgoing.body = lb_memdup (body, length + 1);
   call->outgoing.body_length = length;
-  ln_exchange_foreach_header (exchange, copy_header_to_outgoing, &copy);
+  ln_exchange_foreach_request_header (exchange, copy_header_to_outgoing, &copy);
 }
 
 /* Returns the earliest of the caller's deadline, the route's timeout and the default deadline. */
@@ -148,7 +148,7 @@
 }
 
 void
-ln_routed_handle_request (LnCalls *calls, LnExchange *exchange)
+ln_routed_handle_platform_request (LnCalls *calls, LnExchange *exchange)
 {
   const LcDesired *desired = calls->admission_state.desired;
   const LcRoute *route = NULL;
@@ -170,11 +170,11 @@
       refuse_request (exchange, LB_ERROR_UNKNOWN_PATH, "no route matches the host and path", 0);
       return;
     }
-  ln_admission_check (calls->context, &calls->admission_state, route->is_public, &inbound,
-                      &admission);
+  ln_admission_check_request (calls->context, &calls->admission_state, route->is_public, &inbound,
+                              &admission);
   if (admission.error != LB_OK)
     {
-      ln_admission_refuse (exchange, &calls->admission_state, &inbound, &admission);
+      ln_admission_refuse_request (exchange, &calls->admission_state, &inbound, &admission);
       return;
     }
   if (!lh_method_is_supported (ln_exchange_method (exchange)))
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -231,7 +231,7 @@
 
   if (upstream->status != 503 && upstream->status != 429)
     return false;
-  const char *body = ln_upstream_body (upstream, &length);
+  const char *body = ln_upstream_get_reply_body (upstream, &length);
   object = lb_settings_parse (body, length, "refusal", &error);
   const char *name = lb_json_text (lb_json_member (object, "error"), "type", "");
   bool leaving = strcmp (name, "leaving") == 0;
@@ -392,19 +392,19 @@
 }
 
 uint32_t
-ln_upstream_attempt_number (const LnUpstream *upstream)
+ln_upstream_get_attempt_number (const LnUpstream *upstream)
 {
   return upstream->attempt;
 }
 
 const char *
-ln_upstream_endpoint (const LnUpstream *upstream)
+ln_upstream_get_endpoint_name (const LnUpstream *upstream)
 {
   return upstream->endpoint;
 }
 
 const char *
-ln_upstream_address (const LnUpstream *upstream)
+ln_upstream_get_endpoint_address (const LnUpstream *upstream)
 {
   return upstream->address;
 }
@@ -422,13 +422,13 @@
 }
 
 int
-ln_upstream_status (const LnUpstream *upstream)
+ln_upstream_get_http_status (const LnUpstream *upstream)
 {
   return upstream->status;
 }
 
 const char *
-ln_upstream_body (LnUpstream *upstream, size_t *length)
+ln_upstream_get_reply_body (LnUpstream *upstream, size_t *length)
 {
   *length = evbuffer_get_length (upstream->body);
   return *length > 0 ? (const char *)evbuffer_pullup (upstream->body, -1) : "";
--- a/packages/node/src/calls/ln-upstream.h
+++ b/packages/node/src/calls/ln-upstream.h
@@ -59,15 +59,15 @@
 void ln_upstream_read_load (const LnUpstream *upstream, LnReportedLoad *load);
 /* Returns the score in a scorer's reply; NULL: the call failed or the reply has no score. */
 const char *ln_upstream_read_score (const LnUpstream *upstream);
-uint32_t ln_upstream_attempt_number (const LnUpstream *upstream);
-const char *ln_upstream_endpoint (const LnUpstream *upstream);
-const char *ln_upstream_address (const LnUpstream *upstream);
+uint32_t ln_upstream_get_attempt_number (const LnUpstream *upstream);
+const char *ln_upstream_get_endpoint_name (const LnUpstream *upstream);
+const char *ln_upstream_get_endpoint_address (const LnUpstream *upstream);
 /* Whether the connection was lost before the reply was complete; false for a timeout. */
 bool ln_upstream_has_lost_connection (const LnUpstream *upstream);
 /* Returns the HTTP request to the endpoint, from which the reply headers of a plain service are
  * read and forwarded. Reply headers of an engine are not forwarded. Valid in on_end. */
 const LhFetch *ln_upstream_get_fetch (const LnUpstream *upstream);
-int ln_upstream_status (const LnUpstream *upstream);
-const char *ln_upstream_body (LnUpstream *upstream, size_t *length);
+int ln_upstream_get_http_status (const LnUpstream *upstream);
+const char *ln_upstream_get_reply_body (LnUpstream *upstream, size_t *length);
 
 #endif
--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -44,7 +44,7 @@
   char etag[32];
 
   snprintf (etag, sizeof etag, "\"%lld\"", (long long)revision);
-  ln_exchange_set_header (exchange, "ETag", etag);
+  ln_exchange_set_reply_header (exchange, "ETag", etag);
 }
 
 /* Compares in constant time, so that the duration does not reveal where the first difference is. */
@@ -84,7 +84,7 @@
 get_query_integer (const LnExchange *exchange, const char *key, int64_t default_value)
 {
   char *end = NULL;
-  const char *text = ln_exchange_query (exchange, key);
+  const char *text = ln_exchange_get_query_parameter (exchange, key);
   int64_t value = text ? strtoll (text, &end, 10) : default_value;
 
   return text && (end == text || *end != '\0' || value < 0) ? default_value : value;
@@ -168,7 +168,7 @@
     }
   LbTime confirmed = lc_config_confirmation_age (task->config, lb_clock_monotonic ());
   snprintf (age, sizeof age, "%lld", (long long)(confirmed < 0 ? -1 : confirmed / LB_MSEC));
-  ln_exchange_set_header (exchange, "x-confirmation-age-ms", age);
+  ln_exchange_set_reply_header (exchange, "x-confirmation-age-ms", age);
   ln_config_set_etag (exchange, lc_config_active_revision (task->config));
   ln_exchange_reply_json (exchange, 200, object);
 }
@@ -369,7 +369,7 @@
   json_object_object_add (object, "changes_waiting",
                           json_object_new_int64 ((int64_t)task->changes.length));
   json_object_object_add (object, "instances", instances);
-  ln_pool_controllers_add_status (task, object);
+  ln_pool_controllers_add_status_to_json (task, object);
   ln_exchange_reply_json (exchange, 200, object);
 }
 
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -343,7 +343,7 @@
 {
   size_t length;
   const char *text = ln_exchange_body (change->exchange, &length);
-  const char *dry_run = ln_exchange_query (change->exchange, "dry_run");
+  const char *dry_run = ln_exchange_get_query_parameter (change->exchange, "dry_run");
 
   change->is_dry_run = dry_run && strcmp (dry_run, "0") != 0;
   change->body = lb_settings_parse (text, length, "body", error);
--- a/packages/node/src/config/ln-config-task.h
+++ b/packages/node/src/config/ln-config-task.h
@@ -53,10 +53,10 @@
 
 /* ln-pool-controllers.c: holds leases of pools, and rolls out weights to a held pool's engines. */
 void ln_pool_controllers_configure (LnConfigTask *task, const LcResourceSet *set);
-void ln_pool_controllers_update_ranks (LnConfigTask *task);
+void ln_pool_controllers_update_lease_ranks (LnConfigTask *task);
 void ln_pool_controllers_tick (LnConfigTask *task, LbTime now);
-bool ln_pool_controllers_handle_peer_message (LnConfigTask *task, struct json_object *message);
-void ln_pool_controllers_add_status (LnConfigTask *task, struct json_object *status);
+bool ln_pool_controllers_receive_announcement (LnConfigTask *task, struct json_object *message);
+void ln_pool_controllers_add_status_to_json (LnConfigTask *task, struct json_object *status);
 void ln_pool_controllers_release_leases (LnConfigTask *task);
 bool ln_pool_controllers_have_released_leases (const LnConfigTask *task);
 void ln_pool_controllers_free_all (LnConfigTask *task);
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -230,7 +230,7 @@
   lc_config_update_members (task->config, members, message->n_members, lb_clock_monotonic (),
                             &actions);
   ln_config_execute_actions (task, &actions);
-  ln_pool_controllers_update_ranks (task);
+  ln_pool_controllers_update_lease_ranks (task);
   free (members);
 }
 
@@ -245,7 +245,7 @@
       = lb_settings_parse (frame->payload, frame->length, frame->instance, &error);
 
   lb_list_init (&actions);
-  if (object && ln_pool_controllers_handle_peer_message (task, object))
+  if (object && ln_pool_controllers_receive_announcement (task, object))
     goto out;
   if (object && lc_config_message_from_json (object, &message, &error))
     lc_config_message_received (task->config, frame->instance, &message, now, &actions);
--- a/packages/node/src/front/ln-caller.c
+++ b/packages/node/src/front/ln-caller.c
@@ -66,7 +66,7 @@
 static size_t
 get_partial_request_line_length (const LnCaller *caller)
 {
-  size_t length = ln_request_scanner_partial_line_length (&caller->scanner);
+  size_t length = ln_request_scanner_get_partial_line_length (&caller->scanner);
 
   return caller->scanner.is_malformed || length >= MAX_PARSER_LINE_BYTES ? 0 : length;
 }
--- a/packages/node/src/front/ln-entry.c
+++ b/packages/node/src/front/ln-entry.c
@@ -19,7 +19,7 @@
 static const char *
 get_caller_name (const LnExchange *exchange)
 {
-  const char *caller = ln_exchange_query (exchange, "caller");
+  const char *caller = ln_exchange_get_query_parameter (exchange, "caller");
 
   if (!caller || !caller[0])
     caller = ln_exchange_header (exchange, "x-caller");
@@ -86,7 +86,7 @@
 {
   size_t n_views = lc_membership_count_instances (membership);
   LcMemberView *views = LB_NEW_ARRAY (LcMemberView, n_views);
-  const char *data_centre = ln_exchange_query (exchange, "data_centre");
+  const char *data_centre = ln_exchange_get_query_parameter (exchange, "data_centre");
   LcEntryChoice entry;
 
   lc_membership_copy_views (membership, views);
--- a/packages/node/src/front/ln-exchange-private.h
+++ b/packages/node/src/front/ln-exchange-private.h
@@ -17,10 +17,11 @@
 void ln_exchange_set_user_data (LnExchange *exchange, void *user);
 void *ln_exchange_user_data (const LnExchange *exchange);
 /* Returns the query string before decoding, or NULL if the request has no query. */
-const char *ln_exchange_raw_query (const LnExchange *exchange);
+const char *ln_exchange_get_raw_query (const LnExchange *exchange);
 /* Calls visit for each header of the request; for none once the connection is closed. */
-void ln_exchange_foreach_header (const LnExchange *exchange,
-                                 void (*visit) (const char *name, const char *value, void *user),
-                                 void *user);
+void
+ln_exchange_foreach_request_header (const LnExchange *exchange,
+                                    void (*visit) (const char *name, const char *value, void *user),
+                                    void *user);
 
 #endif
--- a/packages/node/src/front/ln-exchange.c
+++ b/packages/node/src/front/ln-exchange.c
@@ -163,13 +163,13 @@
 }
 
 const char *
-ln_exchange_query (const LnExchange *exchange, const char *key)
+ln_exchange_get_query_parameter (const LnExchange *exchange, const char *key)
 {
   return evhttp_find_header (&exchange->query, key);
 }
 
 const char *
-ln_exchange_raw_query (const LnExchange *exchange)
+ln_exchange_get_raw_query (const LnExchange *exchange)
 {
   return exchange->raw_query;
 }
@@ -182,7 +182,7 @@
 }
 
 size_t
-ln_exchange_count_header (const LnExchange *exchange, const char *name)
+ln_exchange_count_request_header (const LnExchange *exchange, const char *name)
 {
   const evhtp_kv_t *header;
   size_t n = 0;
@@ -197,9 +197,9 @@
 }
 
 void
-ln_exchange_foreach_header (const LnExchange *exchange,
-                            void (*visit) (const char *name, const char *value, void *user),
-                            void *user)
+ln_exchange_foreach_request_header (const LnExchange *exchange,
+                                    void (*visit) (const char *name, const char *value, void *user),
+                                    void *user)
 {
   evhtp_kv_t *header;
 
@@ -244,7 +244,7 @@
 }
 
 void
-ln_exchange_set_header (LnExchange *exchange, const char *name, const char *value)
+ln_exchange_set_reply_header (LnExchange *exchange, const char *name, const char *value)
 {
   if (exchange->request)
     evhtp_headers_add_header (exchange->request->headers_out, evhtp_header_new (name, value, 1, 1));
@@ -290,7 +290,7 @@
   if (!exchange->caller->callers->is_draining)
     return;
   exchange->caller->is_closed_after_reply = true;
-  ln_exchange_set_header (exchange, "Connection", "close");
+  ln_exchange_set_reply_header (exchange, "Connection", "close");
 }
 
 void
@@ -302,7 +302,7 @@
     {
       close_after_reply_if_draining (exchange);
       if (type)
-        ln_exchange_set_header (exchange, "Content-Type", type);
+        ln_exchange_set_reply_header (exchange, "Content-Type", type);
       evbuffer_add (exchange->request->buffer_out, text, length);
       evhtp_send_reply (exchange->request, (evhtp_res)status);
     }
@@ -358,16 +358,16 @@
       return;
     }
   if (lb_error_proves_not_run (error->code))
-    ln_exchange_set_header (exchange, "x-not-run", "1");
+    ln_exchange_set_reply_header (exchange, "x-not-run", "1");
   if (retry_after > 0)
     {
       if (exchange->caller && exchange->caller->callers->has_exact_retry_after)
         snprintf (value, sizeof value, "%.3f", (double)retry_after / LB_SEC);
       else
         snprintf (value, sizeof value, "%lld", (long long)((retry_after + LB_SEC - 1) / LB_SEC));
-      ln_exchange_set_header (exchange, "Retry-After", value);
+      ln_exchange_set_reply_header (exchange, "Retry-After", value);
       snprintf (value, sizeof value, "%lld", (long long)((retry_after + LB_MSEC - 1) / LB_MSEC));
-      ln_exchange_set_header (exchange, "x-retry-after-ms", value);
+      ln_exchange_set_reply_header (exchange, "x-retry-after-ms", value);
     }
   ln_exchange_reply_json (exchange, lb_error_http_status (error->code), error_to_json (error));
 }
@@ -380,7 +380,7 @@
   if (!can_write_reply (exchange))
     return;
   close_after_reply_if_draining (exchange);
-  ln_exchange_set_header (exchange, "Content-Type", type);
+  ln_exchange_set_reply_header (exchange, "Content-Type", type);
   /* HTTP/1.0 has no chunked coding, so closing the connection ends an HTTP/1.0 reply. */
   exchange->is_chunked = exchange->request->proto != EVHTP_PROTO_10;
   if (exchange->is_chunked)
--- a/packages/node/src/front/ln-request-scanner.c
+++ b/packages/node/src/front/ln-request-scanner.c
@@ -217,7 +217,7 @@
 }
 
 size_t
-ln_request_scanner_partial_line_length (const LnRequestScanner *scanner)
+ln_request_scanner_get_partial_line_length (const LnRequestScanner *scanner)
 {
   return scanner->state == REQUEST_LINE ? scanner->line_bytes : 0;
 }
--- a/packages/node/src/front/ln-request-scanner.h
+++ b/packages/node/src/front/ln-request-scanner.h
@@ -26,7 +26,7 @@
 } LnRequestScanner;
 
 /* Returns the number of bytes received of an incomplete request line; 0: none. */
-size_t ln_request_scanner_partial_line_length (const LnRequestScanner *scanner);
+size_t ln_request_scanner_get_partial_line_length (const LnRequestScanner *scanner);
 /* Scans the next bytes received. Returns false when these or earlier bytes contain a malformed
  * request. */
 bool ln_request_scanner_feed (LnRequestScanner *scanner, const char *data, size_t length);
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -86,7 +86,7 @@
 }
 
 void
-ln_pool_controllers_update_ranks (LnConfigTask *task)
+ln_pool_controllers_update_lease_ranks (LnConfigTask *task)
 {
   update_lease_ranks (task);
 }
@@ -300,7 +300,7 @@
 /* Handles a message from another instance. Returns false if its type is not one of the pool
  * controllers. */
 bool
-ln_pool_controllers_handle_peer_message (LnConfigTask *task, struct json_object *message)
+ln_pool_controllers_receive_announcement (LnConfigTask *task, struct json_object *message)
 {
   const char *type = lb_json_text (message, "type", "");
   LbTime now = lb_clock_monotonic ();
@@ -363,7 +363,7 @@
 /* Adds "leases", the leases of all pools, and "roll_outs", the weight roll-outs of the pools whose
  * lease this instance holds. */
 void
-ln_pool_controllers_add_status (LnConfigTask *task, struct json_object *status)
+ln_pool_controllers_add_status_to_json (LnConfigTask *task, struct json_object *status)
 {
   struct json_object *leases = json_object_new_array ();
   struct json_object *roll_outs = json_object_new_array ();
--- a/packages/node/src/rollout/ln-step-relay.c
+++ b/packages/node/src/rollout/ln-step-relay.c
@@ -34,7 +34,7 @@
   if (result->failure == LB_OK && call->exchange)
     {
       if (retry_after)
-        ln_exchange_set_header (call->exchange, "x-retry-after-ms", retry_after);
+        ln_exchange_set_reply_header (call->exchange, "x-retry-after-ms", retry_after);
       ln_exchange_reply_text (call->exchange, result->status, "application/json", result->body,
                               result->body_length);
       call->exchange = NULL;
