--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -14,15 +14,15 @@
 
 /* Interval between reads of the store while a caller waits for a result. */
 #define RESULT_POLL_INTERVAL (150 * LB_MSEC)
-#define MAX_RESULT_WAIT_TIME LB_SEC
+#define MAX_WAIT_FOR_RESULT LB_SEC
 #define MAX_RESULTS_PER_REPLY 200
 
-static void start_call (LnBatchCall *call);
+static void find_batch_row_and_dispatch_call (LnBatchCall *call);
 
 /* The caller's organisation has no batch with the id, so looks for a batch with the same id and no
  * organisation. */
 static void
-retry_without_organisation (LnBatchCall *call)
+retry_call_without_organisation (LnBatchCall *call)
 {
   if (call->public_id[0] == '\0')
     {
@@ -31,7 +31,7 @@
     }
   LB_COPY (call->id, call->public_id);
   call->public_id[0] = '\0';
-  start_call (call);
+  find_batch_row_and_dispatch_call (call);
 }
 
 /* Returns NULL after replying "not found": an ended batch may have been removed while the call
@@ -49,7 +49,7 @@
 /* --- reading results --- */
 
 static void
-reply_results (LnBatchCall *call, const LcBatchResult *results, size_t n_results)
+reply_with_batch_results (LnBatchCall *call, const LcBatchResult *results, size_t n_results)
 {
   const LnBatch *batch = find_batch_or_fail_call (call);
   size_t length;
@@ -85,7 +85,7 @@
     end = stpcpy (end, rows[i].value);
   free (call->split_result.text);
   call->split_result.text = text;
-  reply_results (call, &call->split_result, 1);
+  reply_with_batch_results (call, &call->split_result, 1);
 }
 
 /* Reads the chunks of a result's text, then replies with only this result. */
@@ -118,7 +118,7 @@
   if (n == 0 && n_chunks > 0)
     read_text_chunks (call, &results[0], n_chunks);
   else
-    reply_results (call, results, n);
+    reply_with_batch_results (call, results, n);
   for (size_t i = 0; i <= n; i++)
     lc_batch_result_clear (&results[i]);
   free (results);
@@ -169,7 +169,7 @@
   call->waits_for_store = false;
   if (error == LB_ERROR_NOT_FOUND)
     {
-      retry_without_organisation (call);
+      retry_call_without_organisation (call);
       return;
     }
   if (error == LB_OK
@@ -294,7 +294,7 @@
   call->waits_for_store = false;
   if (error == LB_ERROR_NOT_FOUND)
     {
-      retry_without_organisation (call);
+      retry_call_without_organisation (call);
       return;
     }
   if (error == LB_OK && n_rows > 0 && ln_batches_update_batch_from_row (call->batches, &rows[0]))
@@ -306,7 +306,7 @@
 }
 
 static void
-start_call (LnBatchCall *call)
+find_batch_row_and_dispatch_call (LnBatchCall *call)
 {
   const LnBatch *batch = ln_batches_find (call->batches, call->id);
   char key[LN_BATCH_KEY_SIZE];
@@ -417,7 +417,7 @@
   call->exchange = exchange;
   call->kind = call_kind_from_inbound (in.kind);
   call->position = in.position;
-  call->wait_until = now + (in.wait < MAX_RESULT_WAIT_TIME ? in.wait : MAX_RESULT_WAIT_TIME);
+  call->wait_until = now + (in.wait < MAX_WAIT_FOR_RESULT ? in.wait : MAX_WAIT_FOR_RESULT);
   call->retry_at = LB_TIME_NEVER;
   LB_COPY (call->item, in.item ? in.item : "");
   ln_exchange_set_user_data (exchange, call);
@@ -429,7 +429,7 @@
   else if (call->kind == LN_BATCH_CALL_SUBMIT)
     ln_batch_submit_new_batch (call, &in);
   else
-    start_call (call);
+    find_batch_row_and_dispatch_call (call);
 }
 
 /* Frees the call of a disconnected caller, unless the call waits for the store. A waiting
@@ -454,7 +454,7 @@
   LB_LIST_FOREACH (&batches->calls, LnBatchCall, link, call)
   {
     if (!call->waits_for_store && now >= call->retry_at)
-      start_call (call);
+      find_batch_row_and_dispatch_call (call);
   }
 }
 
--- a/packages/node/src/batch/ln-batch-cleanup.c
+++ b/packages/node/src/batch/ln-batch-cleanup.c
@@ -12,7 +12,7 @@
 
 /* Maximum number of rows to remove in one transaction. The store accepts 100 entries, one of which
  * is the condition. */
-#define MAX_ROWS_PER_REMOVAL 90
+#define MAX_ROWS_PER_REMOVE_TRANSACTION 90
 /* Delay before a failed cleanup is retried. It is long because no batch waits for the space. */
 #define CLEANUP_RETRY_DELAY (10 * LB_SEC)
 /* The candidate of rank 0 cleans up a batch. A candidate of a higher rank waits this long per rank
@@ -30,7 +30,7 @@
   return batch->batches->context->platform;
 }
 
-static void remove_next_rows (LnBatch *batch);
+static void remove_next_rows_or_content (LnBatch *batch);
 
 static void
 finish_cleanup (LnBatch *batch)
@@ -47,8 +47,8 @@
   finish_cleanup (batch);
 }
 
-/* If the condition failed because the row is absent, an earlier write removed the row but its
- * answer was lost. */
+/* Counts a failed removal as success if the row is absent: an earlier attempt removed the row,
+ * but the answer to that attempt was lost. */
 static void
 on_batch_row_removed (LbErrorCode error, const LpRow *row, void *user)
 {
@@ -102,7 +102,7 @@
 }
 
 static void
-on_rows_removed (LbErrorCode error, const LpRow *row, void *user)
+on_batch_data_rows_removed (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   LnBatch *batch = user;
@@ -110,22 +110,23 @@
   if (error != LB_OK)
     postpone_cleanup (batch, error);
   else
-    remove_next_rows (batch);
+    remove_next_rows_or_content (batch);
 }
 
 static void
-remove_rows (LnBatch *batch, const LpRow *rows, size_t n_rows)
+remove_rows_of_batch (LnBatch *batch, const LpRow *rows, size_t n_rows)
 {
-  LpPut puts[MAX_ROWS_PER_REMOVAL];
+  LpPut puts[MAX_ROWS_PER_REMOVE_TRANSACTION];
 
   for (size_t i = 0; i < n_rows; i++)
     puts[i] = (LpPut){ .key = rows[i].key };
   ln_batch_write_rows_if_batch_row_unchanged (batch, puts, n_rows, LP_PRIORITY_STATUS,
-                                              on_rows_removed, batch);
+                                              on_batch_data_rows_removed, batch);
 }
 
 static void
-on_rows_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_batch_data_rows_listed (
+    LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
   LnBatch *batch = user;
@@ -137,15 +138,18 @@
     }
   if (n_rows > 0)
     {
-      remove_rows (batch, rows, n_rows < MAX_ROWS_PER_REMOVAL ? n_rows : MAX_ROWS_PER_REMOVAL);
+      remove_rows_of_batch (batch, rows,
+                            n_rows < MAX_ROWS_PER_REMOVE_TRANSACTION
+                                ? n_rows
+                                : MAX_ROWS_PER_REMOVE_TRANSACTION);
       return;
     }
   batch->cleanup_step++;
-  remove_next_rows (batch);
+  remove_next_rows_or_content (batch);
 }
 
 static void
-remove_next_rows (LnBatch *batch)
+remove_next_rows_or_content (LnBatch *batch)
 {
   LpPlatform *platform = get_platform (batch);
   char prefix[LN_BATCH_KEY_SIZE];
@@ -165,7 +169,8 @@
       remove_batch_content (batch);
       return;
     }
-  platform->klass->list (platform, prefix, NULL, MAX_ROWS_PER_REMOVAL, on_rows_listed, batch);
+  platform->klass->list (platform, prefix, NULL, MAX_ROWS_PER_REMOVE_TRANSACTION,
+                         on_batch_data_rows_listed, batch);
 }
 
 static bool
@@ -195,7 +200,7 @@
       {
         batches->cleanup_batch = batch;
         batch->cleanup_step = LN_CLEANUP_RESULTS;
-        remove_next_rows (batch);
+        remove_next_rows_or_content (batch);
         return;
       }
 }
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -16,56 +16,58 @@
 /* Number of partitions of each table. All rows of a batch are in one partition, so that one
  * transaction can write them. Batches are spread over the partitions because each partition accepts
  * a limited rate of writes. */
-#define N_PARTITIONS 16
+#define N_PARTITIONS_PER_TABLE 16
 #define BATCH_TABLE "head" /* table with one row per batch, an LcBatchHead as JSON */
-/* Duration of one watch request, after which a silently dead connection is detected. The owner of a
- * batch must learn of the batch's end within 3 s even over such a connection. */
-#define WATCH_TIMEOUT (800 * LB_MSEC)
-#define WATCH_RETRY_DELAY (150 * LB_MSEC)
-#define OFFER_TIMEOUT (300 * LB_MSEC) /* time to accept; longer than several store round trips */
-/* An owner that is missing from the member list is presumed alive this long: it may just have got
- * its first duty, and its member row is written, listed and published within this time. */
-#define UNKNOWN_OWNER_GRACE (2500 * LB_MSEC)
+/* Time limit of one watch request, by which a silently dead connection is noticed. The owner of
+ * a batch must learn of the batch's end within 3 s even over such a connection. */
+#define ROW_WATCH_TIMEOUT (800 * LB_MSEC)
+#define ROW_WATCH_RETRY_DELAY (150 * LB_MSEC)
+/* Time for the preferred instance to claim an offered batch; longer than several store round
+ * trips. */
+#define BATCH_OFFER_TIMEOUT (300 * LB_MSEC)
+/* An owner that is missing from the member list is presumed alive for this time: it may
+ * just have got its first duty, and its member row reaches all instances within this time. */
+#define UNKNOWN_OWNER_GRACE_PERIOD (2500 * LB_MSEC)
 /* A candidate waits this long per rank before it takes a batch over, so that the candidates do not
  * all write at once. */
-#define TAKEOVER_DELAY_PER_RANK (400 * LB_MSEC)
+#define BATCH_TAKEOVER_DELAY_PER_RANK (400 * LB_MSEC)
 
 static unsigned
-compute_partition (const char *id)
+compute_batch_partition (const char *id)
 {
-  return (unsigned)(XXH3_64bits (id, strlen (id)) % N_PARTITIONS);
+  return (unsigned)(XXH3_64bits (id, strlen (id)) % N_PARTITIONS_PER_TABLE);
 }
 
 void
 ln_batch_format_row_key (const char *id, char *key)
 {
-  snprintf (key, LN_BATCH_KEY_SIZE, BATCH_TABLE "/%02x/%s", compute_partition (id), id);
+  snprintf (key, LN_BATCH_KEY_SIZE, BATCH_TABLE "/%02x/%s", compute_batch_partition (id), id);
 }
 
 void
 ln_batch_format_result_prefix (const char *id, char *key)
 {
-  snprintf (key, LN_BATCH_KEY_SIZE, "result/%02x/%s:", compute_partition (id), id);
+  snprintf (key, LN_BATCH_KEY_SIZE, "result/%02x/%s:", compute_batch_partition (id), id);
 }
 
 void
 ln_batch_format_checkpoint_prefix (const char *id, char *key)
 {
   /* The table "begun" holds the checkpoints, which are parts of incomplete texts. */
-  snprintf (key, LN_BATCH_KEY_SIZE, "begun/%02x/%s:", compute_partition (id), id);
+  snprintf (key, LN_BATCH_KEY_SIZE, "begun/%02x/%s:", compute_batch_partition (id), id);
 }
 
 void
 ln_batch_format_all_text_chunks_prefix (const char *id, char *key)
 {
   /* The table "more" holds the chunks of complete texts that do not fit into one row. */
-  snprintf (key, LN_BATCH_KEY_SIZE, "more/%02x/%s:", compute_partition (id), id);
+  snprintf (key, LN_BATCH_KEY_SIZE, "more/%02x/%s:", compute_batch_partition (id), id);
 }
 
 void
 ln_batch_format_text_chunks_prefix (const char *id, int64_t position, char *key)
 {
-  snprintf (key, LN_BATCH_KEY_SIZE, "more/%02x/%s:%06lld:", compute_partition (id), id,
+  snprintf (key, LN_BATCH_KEY_SIZE, "more/%02x/%s:%06lld:", compute_batch_partition (id), id,
             (long long)position);
 }
 
@@ -97,7 +99,7 @@
 }
 
 static bool
-is_loading_running_or_offered (const LnBatch *batch)
+is_batch_loading_running_or_offered (const LnBatch *batch)
 {
   return batch->state == LN_BATCH_RUNNING || batch->state == LN_BATCH_LOADING
          || batch->state == LN_BATCH_OFFERED;
@@ -122,7 +124,7 @@
 }
 
 static void
-handle_batch_row_change (LnBatch *batch, const LcBatchHead *old_head)
+start_or_stop_run_after_row_change (LnBatch *batch, const LcBatchHead *old_head)
 {
   if (batch->head.ended && !old_head->ended)
     {
@@ -134,7 +136,7 @@
   /* If the row has a new epoch but still names this process, a claim that was reported as failed
    * took effect. The current run was started under the previous version of the row, so all its
    * writes of results would fail. */
-  if (is_loading_running_or_offered (batch)
+  if (is_batch_loading_running_or_offered (batch)
       && (batch->head.ended || !is_owned_by_this_process (batch)
           || batch->head.epoch != old_head->epoch))
     ln_batch_owner_stop_run (batch);
@@ -186,17 +188,17 @@
   batch->head = head;
   batch->version = row->version;
   batch->version_seen_at = lb_clock_monotonic ();
-  handle_batch_row_change (batch, &old_head);
+  start_or_stop_run_after_row_change (batch, &old_head);
   return true;
 }
 
 /* --- taking over batches without a live owner --- */
 
-/* Looks up the batch's owner in the member list. A member with another incarnation has restarted
- * and lost the batch if its member row is newer than the batch's row. Otherwise the member list is
- * outdated, and the owner counts as alive. */
+/* Looks up the batch's owner in the member list. If the owner is listed with another incarnation
+ * and its member row is newer than the batch's row, the owner has restarted and lost the batch.
+ * If its member row is older, the list is outdated, and the owner counts as alive. */
 static LnOwnerState
-find_owner_state (const LnBatch *batch)
+compute_batch_owner_state (const LnBatch *batch)
 {
   const LnBatches *batches = batch->batches;
 
@@ -217,24 +219,24 @@
 /* Caches the owner's state: the function runs 20 times per second for each batch, and the list of
  * hundreds of members rarely changes. */
 static bool
-is_owner_alive (LnBatch *batch, LbTime now)
+is_batch_owner_alive (LnBatch *batch, LbTime now)
 {
   const LnBatches *batches = batch->batches;
 
   if (batch->owner_members_change != batches->members_change_count
       || batch->owner_row_version != batch->version)
-    batch->owner_state = find_owner_state (batch);
+    batch->owner_state = compute_batch_owner_state (batch);
   batch->owner_members_change = batches->members_change_count;
   batch->owner_row_version = batch->version;
   return batch->owner_state == LN_OWNER_ALIVE
          || (batch->owner_state == LN_OWNER_UNKNOWN
-             && now - batch->version_seen_at < UNKNOWN_OWNER_GRACE);
+             && now - batch->version_seen_at < UNKNOWN_OWNER_GRACE_PERIOD);
 }
 
 static size_t
-add_live_candidates (const LnBatches *batches,
-                     bool without_store_connection,
-                     LcDutyCandidate *candidates)
+add_live_members_as_candidates (const LnBatches *batches,
+                                bool without_store_connection,
+                                LcDutyCandidate *candidates)
 {
   size_t n = 0;
 
@@ -258,14 +260,14 @@
 {
   LcDutyCandidate *candidates = LB_NEW_ARRAY (LcDutyCandidate, batches->n_members + 1);
 
-  *n = add_live_candidates (batches, false, candidates);
+  *n = add_live_members_as_candidates (batches, false, candidates);
   if (*n == 0)
-    *n = add_live_candidates (batches, true, candidates);
+    *n = add_live_members_as_candidates (batches, true, candidates);
   return candidates;
 }
 
 static bool
-is_open_and_assigned_to (const LnBatch *batch, const char *instance)
+is_open_batch_assigned_to_instance (const LnBatch *batch, const char *instance)
 {
   return batch->version > 0 && !batch->head.ended
          && strcmp (lc_batch_head_assigned_instance (&batch->head), instance) == 0;
@@ -279,7 +281,7 @@
                                      const char *instance)
 {
   for (const LnBatch *other = batches->by_id; other != batch; other = other->hh.next)
-    if (is_open_and_assigned_to (other, instance)
+    if (is_open_batch_assigned_to_instance (other, instance)
         && strcmp (other->head.model, batch->head.model) == 0)
       return false;
   return true;
@@ -291,7 +293,7 @@
   size_t n = 0;
 
   for (const LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
-    n += is_open_and_assigned_to (batch, instance)
+    n += is_open_batch_assigned_to_instance (batch, instance)
          && is_first_batch_of_model_on_instance (batches, batch, instance);
   return n;
 }
@@ -310,7 +312,7 @@
 /* Applies the batch's row that was written, unless the watch has already shown that version of the
  * row or a newer one. */
 static void
-apply_written_row (LnBatch *batch, int64_t version)
+apply_written_batch_row (LnBatch *batch, int64_t version)
 {
   if (version <= batch->version)
     return;
@@ -319,7 +321,7 @@
 }
 
 static void
-on_claim_written (LbErrorCode error, const LpRow *row, void *user)
+on_batch_claim_written (LbErrorCode error, const LpRow *row, void *user)
 {
   LnBatch *batch = user;
 
@@ -330,7 +332,7 @@
   lb_log (LB_LOG_INFO, "batch_taken_over", LB_TEXT ("batch", batch->id),
           LB_INT ("epoch", batch->pending_head.epoch), LB_TEXT ("outcome", lb_error_name (error)));
   if (error == LB_OK)
-    apply_written_row (batch, row->version);
+    apply_written_batch_row (batch, row->version);
   else if (error == LB_ERROR_CONDITION_FAILED && row->value)
     ln_batches_update_batch_from_row (batch->batches, row);
   /* If the claim after an expired offer got no answer, the row still names this process. The batch
@@ -390,16 +392,16 @@
   LB_COPY (head.owner, batch->batches->context->instance);
   LB_COPY (head.incarnation, batch->batches->context->incarnation);
   batch->pending_head = head;
-  write_batch_row (batch, &head, NULL, 0, on_claim_written);
+  write_batch_row (batch, &head, NULL, 0, on_batch_claim_written);
 }
 
-/* Claims a batch that the preferred instance did not accept in time, instead of running it in the
- * old epoch. If that instance did accept and the watch shows this late, the claim fails, whereas a
- * run would generate each text twice and could record no result. If that instance is cut off from
- * the store and sees the offer late, the new epoch has ended the offer; otherwise its takeover
- * during the run would lose all texts since the last checkpoint. */
+/* Claims a batch that the preferred instance did not accept in time, instead of running it in
+ * the old epoch. If the preferred instance has accepted but the watch has not shown this yet,
+ * the claim fails; a run would generate each text twice and could record no result. If the
+ * preferred instance sees the offer late, the new epoch has ended the offer; otherwise it would
+ * take over the running batch and lose all texts since the last checkpoint. */
 static void
-claim_after_offer_expired (LnBatch *batch)
+claim_batch_after_offer_expired (LnBatch *batch)
 {
   claim_batch (batch);
 }
@@ -409,13 +411,13 @@
  * engines. If the old owner was only paused, its conditional writes fail, so it cannot record more
  * results. */
 static void
-claim_if_unowned_or_offer_expired (LnBatch *batch, LbTime now)
+claim_batch_if_unowned_or_offer_expired (LnBatch *batch, LbTime now)
 {
   if (batch->state == LN_BATCH_OFFERED && now >= batch->offer_expires_at)
-    claim_after_offer_expired (batch);
+    claim_batch_after_offer_expired (batch);
   if (batch->state != LN_BATCH_NOT_OWNED || batch->head.ended || batch->version == 0
       || batch->batches->members_change_count == 0 || batch->batches->draining
-      || is_owner_alive (batch, now))
+      || is_batch_owner_alive (batch, now))
     {
       batch->owner_gone_since = 0;
       return;
@@ -424,17 +426,17 @@
     batch->owner_gone_since = now;
   if (now - batch->owner_gone_since
       >= (LbTime)ln_batch_get_rank_of_this_instance (batch, batch->head.model)
-             * TAKEOVER_DELAY_PER_RANK)
+             * BATCH_TAKEOVER_DELAY_PER_RANK)
     claim_batch (batch);
 }
 
 static void
-on_release_written (LbErrorCode error, const LpRow *row, void *user)
+on_batch_release_written (LbErrorCode error, const LpRow *row, void *user)
 {
   LnBatch *batch = user;
 
   if (error == LB_OK)
-    apply_written_row (batch, row->version);
+    apply_written_batch_row (batch, row->version);
   lb_log (LB_LOG_INFO, "batch_released", LB_TEXT ("batch", batch->id),
           LB_TEXT ("outcome", lb_error_name (error)));
   batch->state = LN_BATCH_NOT_OWNED;
@@ -452,7 +454,7 @@
   LbList actions;
   LbLink *link;
 
-  if (!is_loading_running_or_offered (batch))
+  if (!is_batch_loading_running_or_offered (batch))
     return;
   lb_list_init (&actions);
   if (batch->run)
@@ -468,7 +470,7 @@
   LB_COPY (head.owner, "");
   LB_COPY (head.incarnation, "");
   batch->pending_head = head;
-  write_batch_row (batch, &head, puts, n, on_release_written);
+  write_batch_row (batch, &head, puts, n, on_batch_release_written);
   ln_batch_owner_free_put_strings (puts, n);
 }
 
@@ -481,7 +483,7 @@
       || strcmp (batch->head.preferred_instance, batch->batches->context->instance) == 0)
     return false;
   batch->state = LN_BATCH_OFFERED;
-  batch->offer_expires_at = now + OFFER_TIMEOUT;
+  batch->offer_expires_at = now + BATCH_OFFER_TIMEOUT;
   return true;
 }
 
@@ -490,7 +492,7 @@
 /* Applies a change of a row that the watch reported. A row without a value was removed by the
  * cleanup of an ended batch. */
 static void
-apply_row_change (LnBatches *batches, const LpRow *row)
+update_or_remove_batch_from_row (LnBatches *batches, const LpRow *row)
 {
   LnBatch *batch = NULL;
 
@@ -508,7 +510,7 @@
 on_batch_rows_changed (const LpRow *rows, size_t n_rows, void *user)
 {
   for (size_t i = 0; i < n_rows; i++)
-    apply_row_change (user, &rows[i]);
+    update_or_remove_batch_from_row (user, &rows[i]);
 }
 
 void
@@ -521,12 +523,12 @@
           BATCH_TABLE "/0c/", BATCH_TABLE "/0d/", BATCH_TABLE "/0e/", BATCH_TABLE "/0f/" };
   const LpFollowSettings settings = { .table = BATCH_TABLE,
                                       .prefixes = prefixes,
-                                      .n_prefixes = N_PARTITIONS,
-                                      .watch_timeout = WATCH_TIMEOUT,
-                                      .retry_delay = WATCH_RETRY_DELAY,
+                                      .n_prefixes = N_PARTITIONS_PER_TABLE,
+                                      .watch_timeout = ROW_WATCH_TIMEOUT,
+                                      .retry_delay = ROW_WATCH_RETRY_DELAY,
                                       .tries_history = true };
 
-  _Static_assert(sizeof prefixes / sizeof prefixes[0] == N_PARTITIONS,
+  _Static_assert(sizeof prefixes / sizeof prefixes[0] == N_PARTITIONS_PER_TABLE,
                  "one prefix for each partition");
   batches->row_watch
       = lp_follow_new (batches->context->platform, &settings, on_batch_rows_changed, batches);
@@ -536,6 +538,6 @@
 ln_batches_claim_unowned_and_tick_watch (LnBatches *batches, LbTime now)
 {
   for (LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
-    claim_if_unowned_or_offer_expired (batch, now);
+    claim_batch_if_unowned_or_offer_expired (batch, now);
   lp_follow_tick (batches->row_watch, now);
 }
--- a/packages/node/src/batch/ln-batch-load.c
+++ b/packages/node/src/batch/ln-batch-load.c
@@ -8,7 +8,7 @@
 
 #include <stdlib.h>
 
-#define LOAD_RETRY_DELAY (200 * LB_MSEC) /* after a failed read; similar to other reads */
+#define BATCH_LOAD_RETRY_DELAY (200 * LB_MSEC) /* delay before a failed load is retried */
 
 /* A load in progress of a batch that this instance has taken over. Reads first the batch's content,
  * then the recorded results, then the checkpoints of incomplete texts. */
@@ -52,14 +52,14 @@
 {
   lb_log (LB_LOG_WARNING, "batch_not_loaded", LB_TEXT ("batch", load->batch->id),
           LB_TEXT ("error", lb_error_name (error)));
-  load->batch->load_retry_at = lb_clock_monotonic () + LOAD_RETRY_DELAY;
+  load->batch->load_retry_at = lb_clock_monotonic () + BATCH_LOAD_RETRY_DELAY;
   batch_load_free (load);
 }
 
 /* Returns true if the read succeeded and this instance still owns the batch in the epoch of the
  * load. Otherwise ends the load and returns false. */
 static bool
-check_read_or_end_load (BatchLoad *load, LbErrorCode error)
+end_load_unless_read_succeeded (BatchLoad *load, LbErrorCode error)
 {
   if (is_load_outdated (load))
     {
@@ -73,14 +73,14 @@
 }
 
 static void
-on_checkpoints_listed (
+on_batch_checkpoints_listed (
     LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
   BatchLoad *load = user;
   LnBatchSavedProgress *saved = &load->saved;
 
-  if (!check_read_or_end_load (load, error))
+  if (!end_load_unless_read_succeeded (load, error))
     return;
   saved->parts = LB_NEW_ARRAY (LcBatchTextPart, n_rows + 1);
   for (size_t i = 0; i < n_rows; i++)
@@ -91,7 +91,8 @@
 }
 
 static void
-on_results_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_batch_results_listed (
+    LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
   BatchLoad *load = user;
@@ -99,7 +100,7 @@
   LnBatchSavedProgress *saved = &load->saved;
   char prefix[LN_BATCH_KEY_SIZE];
 
-  if (!check_read_or_end_load (load, error))
+  if (!end_load_unless_read_succeeded (load, error))
     return;
   saved->finished_items = LB_NEW_ARRAY (LbName, n_rows + 1);
   for (size_t i = 0; i < n_rows; i++)
@@ -111,11 +112,11 @@
       lc_batch_result_clear (&result);
     }
   ln_batch_format_checkpoint_prefix (load->batch->id, prefix);
-  platform->klass->list (platform, prefix, NULL, 0, on_checkpoints_listed, load);
+  platform->klass->list (platform, prefix, NULL, 0, on_batch_checkpoints_listed, load);
 }
 
 static void
-on_content_read (LbErrorCode error, const char *bytes, size_t length, void *user)
+on_batch_content_read (LbErrorCode error, const char *bytes, size_t length, void *user)
 {
   BatchLoad *load = user;
   LnBatch *batch = load->batch;
@@ -123,7 +124,7 @@
   char prefix[LN_BATCH_KEY_SIZE];
   LbError parse_error = { 0 };
 
-  if (!check_read_or_end_load (load, error))
+  if (!end_load_unless_read_succeeded (load, error))
     return;
   if (!batch->batches->context->dialect->read_batch (bytes, length, batch->id, &load->spec,
                                                      &parse_error))
@@ -132,7 +133,7 @@
       return;
     }
   ln_batch_format_result_prefix (batch->id, prefix);
-  platform->klass->list (platform, prefix, NULL, 0, on_results_listed, load);
+  platform->klass->list (platform, prefix, NULL, 0, on_batch_results_listed, load);
 }
 
 void
@@ -147,5 +148,5 @@
   load->batch = batch;
   load->epoch = batch->head.epoch;
   ln_batch_format_content_key (batch->id, key);
-  platform->klass->get_object (platform, key, on_content_read, load);
+  platform->klass->get_object (platform, key, on_batch_content_read, load);
 }
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -69,7 +69,7 @@
 }
 
 static int64_t
-get_tokens_per_event (const LnBatch *batch)
+get_service_tokens_per_event (const LnBatch *batch)
 {
   const LcRoute *route = find_batch_route (batch);
   const LcService *service = route
@@ -113,7 +113,7 @@
 /* Uses the model as the flow of fair queueing, so that the batches of a model are ordered by due
  * time. expected_tokens and resume_at are in events, the pieces of text that an engine streams. */
 static void
-request_generation (LnBatch *batch, const LcBatchAction *action)
+request_text_generation (LnBatch *batch, const LcBatchAction *action)
 {
   const LcBatchSpec *spec = lc_batch_get_spec (batch->run);
   const LcBatchItemSpec *item = &spec->items[action->item_index];
@@ -155,7 +155,7 @@
 }
 
 static void
-request_scoring (LnBatch *batch, const LcBatchAction *action)
+request_text_scoring (LnBatch *batch, const LcBatchAction *action)
 {
   const LcBatchItemSpec *item = &lc_batch_get_spec (batch->run)->items[action->item_index];
   const LcDesired *desired = batch->batches->admission_state.desired;
@@ -258,7 +258,7 @@
  * unchanged, a result row already existed. Only an earlier attempt of the same write can have
  * created it, since no other instance can write results under this version of the batch's row. */
 static void
-on_row_read_after_conflict (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_batch_row_read_after_conflict (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   BatchWrite *write = user;
   LnBatch *batch = write->batch;
@@ -281,7 +281,7 @@
   if (error == LB_ERROR_CONDITION_FAILED)
     {
       ln_batch_format_row_key (batch->id, key);
-      platform->klass->get (platform, key, on_row_read_after_conflict, write);
+      platform->klass->get (platform, key, on_batch_row_read_after_conflict, write);
       return;
     }
   if (error != LB_OK)
@@ -462,10 +462,10 @@
       switch (action->type)
         {
         case LC_BATCH_GENERATE:
-          request_generation (batch, action);
+          request_text_generation (batch, action);
           break;
         case LC_BATCH_SCORE:
-          request_scoring (batch, action);
+          request_text_scoring (batch, action);
           break;
         case LC_BATCH_CANCEL:
           cancel_request (batch, action->request);
@@ -501,7 +501,7 @@
           .text_cache = lb_switch_is_on (LB_SWITCH_CARRIED_TEXTS)
                             ? ln_batches_get_model_text_cache (batch->batches, spec->model)
                             : NULL,
-          .tokens_per_event = get_tokens_per_event (batch),
+          .tokens_per_event = get_service_tokens_per_event (batch),
           .max_failures = route ? route->max_attempts : DEFAULT_MAX_ITEM_ATTEMPTS,
           .max_score_failures = DEFAULT_MAX_ITEM_ATTEMPTS + 1,
           .resumable = !route || route->resumable,
--- a/packages/node/src/batch/ln-batch-rows.c
+++ b/packages/node/src/batch/ln-batch-rows.c
@@ -13,7 +13,7 @@
 
 /* Returns a JSON object with all fields of the result except the text. */
 static struct json_object *
-result_to_object (const LcBatchResult *result)
+result_to_json_object_without_text (const LcBatchResult *result)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -29,7 +29,7 @@
 char *
 ln_batch_result_to_json (const LcBatchResult *result)
 {
-  struct json_object *object = result_to_object (result);
+  struct json_object *object = result_to_json_object_without_text (result);
 
   json_object_object_add (object, "text",
                           json_object_new_string (result->text ? result->text : ""));
@@ -39,7 +39,7 @@
 char *
 ln_batch_result_to_json_without_text (const LcBatchResult *result, size_t n_chunks)
 {
-  struct json_object *object = result_to_object (result);
+  struct json_object *object = result_to_json_object_without_text (result);
 
   json_object_object_add (object, "pieces", json_object_new_int64 ((int64_t)n_chunks));
   return lb_json_serialize_and_release (object, JSON_FORMAT);
--- a/packages/node/src/batch/ln-batch-submit.c
+++ b/packages/node/src/batch/ln-batch-submit.c
@@ -22,7 +22,7 @@
 }
 
 static void
-accept_batch (LnBatchCall *call, int64_t version)
+offer_or_run_accepted_batch (LnBatchCall *call, int64_t version)
 {
   LnBatches *batches = call->batches;
   LnBatch *batch = ln_batches_find_or_create (batches, call->id);
@@ -49,7 +49,7 @@
 /* Reports OUTCOME_UNKNOWN if a write of the batch's row got no answer, because that write may still
  * take effect seconds later. Otherwise the row does not exist, and the batch will not run. */
 static void
-fail_submission (LnBatchCall *call)
+fail_submission_call (LnBatchCall *call)
 {
   if (call->may_be_accepted)
     ln_batch_call_fail (call, LB_ERROR_OUTCOME_UNKNOWN,
@@ -69,7 +69,7 @@
     batch->state = LN_BATCH_NOT_OWNED;
   if (error == LB_OK)
     {
-      accept_batch (call, row->version);
+      offer_or_run_accepted_batch (call, row->version);
       reply_batch_accepted (call);
     }
   else if (error == LB_ERROR_CONDITION_FAILED)
@@ -88,7 +88,7 @@
       if (!ln_batch_call_schedule_retry (call))
         {
           ln_batch_load_and_run_if_owned (batch);
-          fail_submission (call);
+          fail_submission_call (call);
         }
     }
 }
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -114,7 +114,7 @@
   LnBatchRequest *requests;               /* hash table of the requests in flight */
   LbList calls;                           /* list of the LnBatchCall in progress */
   LpFollow *row_watch;                    /* watch of the rows of all batches */
-  bool owns_any;                          /* last value posted: this instance owns a batch */
+  bool owns_any;                          /* whether this instance owns any batch, as last posted */
   bool draining;                          /* set while this instance shuts down */
 };
 
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -10,10 +10,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK_INTERVAL (50 * LB_MSEC)
+#define BATCHES_TICK_INTERVAL (50 * LB_MSEC)
 /* Delay between watch requests for the rows of batches, on an instance that does not fit into the
  * full directory of instances. */
-#define OMITTED_WATCH_DELAY (2 * LB_SEC)
+#define OMITTED_INSTANCE_WATCH_DELAY (2 * LB_SEC)
 
 static LbMetric batches_owned
     = LB_GAUGE_INIT ("lentilspindle_batches_owned", NULL, "Batches that this instance runs");
@@ -92,16 +92,17 @@
 }
 
 static void
-update_members (LnBatches *batches, const LnMembersMessage *message)
+update_member_list (LnBatches *batches, const LnMembersMessage *message)
 {
   free (batches->members);
   batches->members = lb_memdup (message->members, message->n_members * sizeof (LnMember));
   batches->n_members = message->n_members;
   batches->members_change_count++;
-  /* An instance that the directory omits may learn late of a batch: it gets no offers, and a call
-   * about an unknown batch reads the store. */
-  lp_follow_set_watch_delay (batches->row_watch,
-                             message->is_omitted && !batches->owns_any ? OMITTED_WATCH_DELAY : 0);
+  /* An instance that is missing from the directory may learn late of a batch, so it watches less
+   * often: it gets no offers, and it reads the store for a call about an unknown batch. */
+  lp_follow_set_watch_delay (batches->row_watch, message->is_omitted && !batches->owns_any
+                                                     ? OMITTED_INSTANCE_WATCH_DELAY
+                                                     : 0);
 }
 
 static void
@@ -126,7 +127,7 @@
       batches->admission_state.confirmed_at = ((const LnDesiredConfirmedMessage *)message)->at;
       break;
     case LN_MEMBERS:
-      update_members (batches, (const LnMembersMessage *)message);
+      update_member_list (batches, (const LnMembersMessage *)message);
       break;
     case LN_SAMPLE_PIECE:
       ln_batch_owner_receive_text_piece (batches, (const LnSamplePieceMessage *)message);
@@ -176,7 +177,7 @@
 }
 
 static void
-drain_batches (LnTask *base)
+drain_batches_task (LnTask *base)
 {
   LnBatches *batches = (LnBatches *)base;
 
@@ -232,7 +233,7 @@
 
 static const LnTaskClass batches_class = { .name = "rollouts",
                                            .receive = receive_batches_message,
-                                           .drain = drain_batches,
+                                           .drain = drain_batches_task,
                                            .is_idle = is_batches_task_idle,
                                            .free = free_batches_task };
 
@@ -247,8 +248,9 @@
   batches->context = context;
   lb_list_init (&batches->calls);
   ln_batches_start_row_watch (batches);
-  batches->tick
-      = (LnPeriodicCall){ .period = TICK_INTERVAL, .callback = on_batches_tick, .user = batches };
+  batches->tick = (LnPeriodicCall){ .period = BATCHES_TICK_INTERVAL,
+                                    .callback = on_batches_tick,
+                                    .user = batches };
   ln_ticker_add (ln_context_ticker (context), &batches->tick);
   return &batches->task;
 }
