--- a/packages/node/src/rollout/ln-pool-controller.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -22,7 +22,7 @@
 #define LOAD_REPORT_INTERVAL LB_SEC
 #define MAX_LOAD_REPORT_REQUESTS_PER_SECOND 200
 #define LOAD_REPORT_INTERVAL_DURING_SWAP (LB_SEC / 4)
-#define ENGINE_IDLE_TIMEOUT (2 * LB_SEC)
+#define ENGINE_REQUEST_IDLE_TIMEOUT (2 * LB_SEC)
 #define LEASE_KEY_SIZE 96 /* buffer size in bytes for the key of a lease row */
 
 /* An engine of the pool, and the requests in flight to the engine. */
@@ -115,7 +115,7 @@
 }
 
 static void
-configure_engine (LnPoolController *controller, const LcEndpointMember *member)
+add_or_update_engine (LnPoolController *controller, const LcEndpointMember *member)
 {
   Engine *engine = find_engine (controller, member->name);
 
@@ -140,7 +140,7 @@
   for (size_t i = 0; i < set->n_endpoints; i++)
     if (set->endpoints[i].kind == LC_ENDPOINT_ENGINE && !set->endpoints[i].leaving
         && strcmp (set->endpoints[i].pool, controller->pool) == 0)
-      configure_engine (controller, &set->endpoints[i]);
+      add_or_update_engine (controller, &set->endpoints[i]);
   HASH_ITER (hh, controller->engines, engine, next)
   {
     if (!engine->is_configured)
@@ -207,7 +207,7 @@
 }
 
 static void
-handle_lease_change (LnPoolController *controller, const LcLeaseAction *action)
+reset_roll_out_after_lease_change (LnPoolController *controller, const LcLeaseAction *action)
 {
   bool is_gained = action->type == LC_LEASE_GAINED;
   LbTime now = lb_clock_monotonic ();
@@ -239,7 +239,7 @@
           break;
         case LC_LEASE_GAINED:
         case LC_LEASE_LOST:
-          handle_lease_change (controller, action);
+          reset_roll_out_after_lease_change (controller, action);
           break;
         }
       free (action);
@@ -314,7 +314,7 @@
   const LhRequest request = { .method = "GET",
                               .address = engine->address,
                               .path = "/load",
-                              .idle_timeout = ENGINE_IDLE_TIMEOUT };
+                              .idle_timeout = ENGINE_REQUEST_IDLE_TIMEOUT };
   LbTime period = (LbTime)HASH_COUNT (engine->controller->engines) * LB_SEC
                   / MAX_LOAD_REPORT_REQUESTS_PER_SECOND;
 
@@ -329,7 +329,7 @@
 }
 
 static LbErrorCode
-get_order_error (const LhResult *result)
+get_order_reply_error (const LhResult *result)
 {
   LbErrorCode error = LB_ERROR_ENDPOINT_FAILED;
   struct json_object *object = NULL;
@@ -352,7 +352,7 @@
   Engine *engine = user;
   LnPoolController *controller = engine->controller;
   LbTime now = lb_clock_monotonic ();
-  LbErrorCode error = get_order_error (result);
+  LbErrorCode error = get_order_reply_error (result);
 
   engine->order_request = NULL;
   engine->next_load_request_at = now;
@@ -374,7 +374,7 @@
   LhRequest request = { .method = "POST",
                         .address = action->address,
                         .path = "/orders",
-                        .idle_timeout = ENGINE_IDLE_TIMEOUT,
+                        .idle_timeout = ENGINE_REQUEST_IDLE_TIMEOUT,
                         .fresh_connection = true };
   char *body = lb_asprintf ("{\"order\": \"load_weights\", \"pool\": \"%s\", \"version\": %lld, "
                             "\"fence\": %lld}",
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -10,7 +10,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define MAX_LEASE_CANDIDATES 3
+#define MAX_LEASE_CANDIDATES_PER_POOL 3
 
 LnPoolController *
 ln_pool_controllers_find_by_serial (LnConfigTask *task, uint64_t serial)
@@ -73,7 +73,7 @@
   if (task->draining)
     return -1;
   lc_config_visit_instances (task->config, count_if_preferred_for_lease, &search);
-  return search.n_preferred < MAX_LEASE_CANDIDATES ? search.n_preferred : -1;
+  return search.n_preferred < MAX_LEASE_CANDIDATES_PER_POOL ? search.n_preferred : -1;
 }
 
 static void
--- a/packages/node/src/rollout/ln-rollouts-owners.c
+++ b/packages/node/src/rollout/ln-rollouts-owners.c
@@ -12,14 +12,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define CALL_RETRY_AFTER (500 * LB_MSEC) /* delay after which a trainer may retry a failed call */
-#define MAX_OWNER_LOOKUPS 3              /* lookups of the step's owner for one call */
+/* Delay that a trainer is told to wait before it retries a failed call. */
+#define STEP_CALL_RETRY_AFTER (500 * LB_MSEC)
+#define MAX_STEP_OWNER_LOOKUPS_PER_CALL 3
 /* Delay before retrying a failed release, or a failed claim of a step that was opened while the
  * store was unavailable. */
 #define OWNER_WRITE_RETRY_DELAY LB_SEC
 /* After this number of failed releases, the step is dropped. Its row still names this instance, so
  * another instance can claim the step only when this instance has exited. */
-#define MAX_RELEASE_ATTEMPTS 10
+#define MAX_RELEASE_ATTEMPTS_PER_STEP 10
 
 typedef struct
 {
@@ -89,12 +90,12 @@
 }
 
 static void
-fail_call (LnRollouts *rollouts, LnStepCall *call, LbErrorCode code, const char *detail)
+fail_step_call (LnRollouts *rollouts, LnStepCall *call, LbErrorCode code, const char *detail)
 {
   LbError error;
 
   lb_error_set (&error, code, call->key.subscription, "%s", detail);
-  ln_step_call_reply_error (call, &error, CALL_RETRY_AFTER);
+  ln_step_call_reply_error (call, &error, STEP_CALL_RETRY_AFTER);
   ln_rollouts_end_call (rollouts, call);
 }
 
@@ -102,10 +103,10 @@
 fail_call_for_unknown_step (LnRollouts *rollouts, LnStepCall *call)
 {
   if (lc_rollouts_has_subscription (rollouts->core, call->key.subscription))
-    fail_call (rollouts, call, LB_ERROR_UNKNOWN_STEP, "the step was never opened");
+    fail_step_call (rollouts, call, LB_ERROR_UNKNOWN_STEP, "the step was never opened");
   else
-    fail_call (rollouts, call, LB_ERROR_UNKNOWN_SUBSCRIPTION,
-               "the configuration has no subscription of this name");
+    fail_step_call (rollouts, call, LB_ERROR_UNKNOWN_SUBSCRIPTION,
+                    "the configuration has no subscription of this name");
 }
 
 LnStepCall *
@@ -120,7 +121,7 @@
 }
 
 static void
-open_step (LnRollouts *rollouts, LnStepCall *call, const LnTrackedStep *step)
+open_claimed_step_and_reply (LnRollouts *rollouts, LnStepCall *call, const LnTrackedStep *step)
 {
   LcStepSpec spec;
   LcStepStatus status = { 0 };
@@ -144,7 +145,7 @@
 }
 
 static void
-start_pull (LnRollouts *rollouts, LnStepCall *call)
+start_pull_of_samples (LnRollouts *rollouts, LnStepCall *call)
 {
   LbList actions;
 
@@ -165,7 +166,7 @@
       ln_rollouts_end_call (rollouts, call);
     }
   else
-    fail_call (rollouts, call, LB_ERROR_UNKNOWN_STEP, "the step is closed");
+    fail_step_call (rollouts, call, LB_ERROR_UNKNOWN_STEP, "the step is closed");
 }
 
 static void
@@ -174,10 +175,10 @@
   switch (call->type)
     {
     case LN_STEP_OPEN:
-      open_step (rollouts, call, step);
+      open_claimed_step_and_reply (rollouts, call, step);
       break;
     case LN_STEP_PULL:
-      start_pull (rollouts, call);
+      start_pull_of_samples (rollouts, call);
       break;
     case LN_STEP_STATUS:
       reply_step_status (rollouts, call, step);
@@ -191,7 +192,7 @@
  * dead. If the list is wrong, a step has two owners for a while. The session number in rows and
  * cursors ensures that only one of the two owners delivers samples. */
 static bool
-is_owner_alive (const LnRollouts *rollouts, const LnStepOwner *owner)
+is_step_owner_alive (const LnRollouts *rollouts, const LnStepOwner *owner)
 {
   for (size_t i = 0; i < rollouts->n_members; i++)
     {
@@ -206,15 +207,15 @@
 /* --- relaying calls --- */
 
 static void
-on_relay_done (LnStepCall *call, LbErrorCode failure, void *user)
+on_step_call_relay_done (LnStepCall *call, LbErrorCode failure, void *user)
 {
   LnRollouts *rollouts = user;
 
   if (failure == LB_OK || !call->exchange)
     ln_rollouts_end_call (rollouts, call);
   else
-    fail_call (rollouts, call, LB_ERROR_NOT_READY,
-               "the step's owner did not answer the relayed call");
+    fail_step_call (rollouts, call, LB_ERROR_NOT_READY,
+                    "the step's owner did not answer the relayed call");
 }
 
 static void
@@ -222,14 +223,14 @@
 {
   if (ln_exchange_header (call->exchange, "x-relayed-by"))
     {
-      fail_call (rollouts, call, LB_ERROR_NOT_READY,
-                 "the call was relayed to an instance that does not own the step");
+      fail_step_call (rollouts, call, LB_ERROR_NOT_READY,
+                      "the call was relayed to an instance that does not own the step");
       return;
     }
-  if (!ln_step_relay_start (rollouts->context, call, owner, on_relay_done, rollouts))
+  if (!ln_step_relay_start (rollouts->context, call, owner, on_step_call_relay_done, rollouts))
     {
-      fail_call (rollouts, call, LB_ERROR_NOT_READY,
-                 "the call could not be relayed to the step's owner");
+      fail_step_call (rollouts, call, LB_ERROR_NOT_READY,
+                      "the call could not be relayed to the step's owner");
       return;
     }
   lb_list_append (&rollouts->calls, &call->link);
@@ -240,7 +241,7 @@
 {
   LB_LIST_FOREACH (&rollouts->calls, LnStepCall, link, call)
   {
-    if (!call->relay || is_owner_alive (rollouts, &call->relay_owner))
+    if (!call->relay || is_step_owner_alive (rollouts, &call->relay_owner))
       continue;
     ln_step_relay_cancel (call);
     lb_list_remove (&rollouts->calls, &call->link);
@@ -251,7 +252,7 @@
 /* Relays a call for a step without an owner to an instance that can claim the step. Called while
  * draining, when this instance claims no steps. */
 static void
-relay_call_to_accepting_member (LnRollouts *rollouts, LnStepCall *call)
+relay_call_to_non_draining_instance (LnRollouts *rollouts, LnStepCall *call)
 {
   for (size_t i = 0; i < rollouts->n_members; i++)
     {
@@ -265,7 +266,7 @@
       relay_call_to_owner (rollouts, call, &other);
       return;
     }
-  fail_call (rollouts, call, LB_ERROR_DRAINING, "this instance is shutting down");
+  fail_step_call (rollouts, call, LB_ERROR_DRAINING, "this instance is shutting down");
 }
 
 /* --- looking up owners and claiming steps --- */
@@ -314,12 +315,12 @@
       else if (result->outcome == LN_STEP_OWNED_ELSEWHERE)
         relay_call_to_owner (rollouts, call, &result->owner);
       else if (result->outcome == LN_STEP_UNOWNED)
-        relay_call_to_accepting_member (rollouts, call);
+        relay_call_to_non_draining_instance (rollouts, call);
       else if (result->outcome == LN_STEP_NOT_FOUND)
         fail_call_for_unknown_step (rollouts, call);
       else
-        fail_call (rollouts, call, result->error ? result->error : LB_ERROR_NOT_READY,
-                   "the step's owner could not be determined");
+        fail_step_call (rollouts, call, result->error ? result->error : LB_ERROR_NOT_READY,
+                        "the step's owner could not be determined");
     }
 }
 
@@ -349,7 +350,7 @@
 }
 
 static void
-finish_owner_lookup (LnRollouts *rollouts, LnTrackedStep *step, LnStepClaimResult *result)
+finish_step_owner_lookup (LnRollouts *rollouts, LnTrackedStep *step, LnStepClaimResult *result)
 {
   LbList waiting_calls = { 0 };
   LbError error = { .code = LB_OK };
@@ -405,7 +406,7 @@
 }
 
 static void
-on_claim_done (const LnStepClaimResult *claim_result, void *user)
+on_step_claim_done (const LnStepClaimResult *claim_result, void *user)
 {
   OwnershipOperation *operation = user;
   LnRollouts *rollouts = operation->rollouts;
@@ -418,15 +419,15 @@
   if (step->is_open)
     finish_claim_of_open_step (rollouts, step, &result);
   else
-    finish_owner_lookup (rollouts, step, &result);
+    finish_step_owner_lookup (rollouts, step, &result);
 }
 
 static bool
-is_owner_alive_callback (const LnStepOwner *owner, void *user)
+is_step_owner_alive_callback (const LnStepOwner *owner, void *user)
 {
   const OwnershipOperation *operation = user;
 
-  return is_owner_alive (operation->rollouts, owner);
+  return is_step_owner_alive (operation->rollouts, owner);
 }
 
 static void
@@ -443,8 +444,8 @@
                                             .own_session = step->is_open ? step->owner.session : 0,
                                             .incarnation = rollouts->context->incarnation,
                                             .may_claim = !rollouts->is_draining,
-                                            .is_owner_alive = is_owner_alive_callback,
-                                            .done = on_claim_done,
+                                            .is_owner_alive = is_step_owner_alive_callback,
+                                            .done = on_step_claim_done,
                                             .user = operation });
 }
 
@@ -459,9 +460,9 @@
       serve_call_of_open_step (rollouts, call, step);
       return;
     }
-  if (++call->owner_lookups > MAX_OWNER_LOOKUPS)
+  if (++call->owner_lookups > MAX_STEP_OWNER_LOOKUPS_PER_CALL)
     {
-      fail_call (rollouts, call, LB_ERROR_NOT_READY, "the step's owner keeps changing");
+      fail_step_call (rollouts, call, LB_ERROR_NOT_READY, "the step's owner keeps changing");
       return;
     }
   if (!step)
@@ -474,7 +475,7 @@
 }
 
 static void
-start_claims_of_open_steps (LnRollouts *rollouts, LbTime now)
+retry_claims_of_open_steps (LnRollouts *rollouts, LbTime now)
 {
   LB_LIST_FOREACH (&rollouts->steps, LnTrackedStep, link, step)
   {
@@ -486,7 +487,7 @@
 /* --- releasing steps while draining --- */
 
 static void
-abort_step (LnRollouts *rollouts, const LnTrackedStep *step)
+abort_and_remove_step (LnRollouts *rollouts, const LnTrackedStep *step)
 {
   LnStepKey key = step->key;
   LbList actions;
@@ -514,8 +515,8 @@
   step->is_releasing = false;
   step->retry_at = lb_clock_monotonic () + OWNER_WRITE_RETRY_DELAY;
   if (error == LB_OK || error == LB_ERROR_CONDITION_FAILED
-      || ++step->release_attempts >= MAX_RELEASE_ATTEMPTS)
-    abort_step (rollouts, step);
+      || ++step->release_attempts >= MAX_RELEASE_ATTEMPTS_PER_STEP)
+    abort_and_remove_step (rollouts, step);
 }
 
 static void
@@ -551,9 +552,10 @@
       continue;
     if (step->is_durable)
       release_step (rollouts, step);
-    else if (now - rollouts->draining_since > MAX_RELEASE_ATTEMPTS * OWNER_WRITE_RETRY_DELAY)
+    else if (now - rollouts->draining_since
+             > MAX_RELEASE_ATTEMPTS_PER_STEP * OWNER_WRITE_RETRY_DELAY)
       {
-        abort_step (rollouts, step);
+        abort_and_remove_step (rollouts, step);
         return;
       }
   }
@@ -564,7 +566,7 @@
 {
   LbTime now = lb_clock_monotonic ();
 
-  start_claims_of_open_steps (rollouts, now);
+  retry_claims_of_open_steps (rollouts, now);
   if (rollouts->is_draining)
     release_idle_steps (rollouts, now);
 }
--- a/packages/node/src/rollout/ln-rollouts-run.c
+++ b/packages/node/src/rollout/ln-rollouts-run.c
@@ -30,7 +30,7 @@
 }
 
 static const char *
-find_model_name (const LnRollouts *rollouts, const char *pool)
+find_model_name_of_pool (const LnRollouts *rollouts, const char *pool)
 {
   const LcPool *resource
       = rollouts->resources ? lc_resource_set_find_pool (rollouts->resources, pool) : NULL;
@@ -44,7 +44,8 @@
   struct json_object *object = json_object_new_object ();
 
   json_object_object_add (object, "model",
-                          json_object_new_string (find_model_name (rollouts, action->spec.pool)));
+                          json_object_new_string (
+                              find_model_name_of_pool (rollouts, action->spec.pool)));
   json_object_object_add (object, "prompt", json_object_new_string (action->prompt));
   json_object_object_add (object, "max_tokens", json_object_new_int64 (action->max_tokens));
   json_object_object_add (object, "stream", json_object_new_boolean (true));
@@ -118,7 +119,7 @@
 }
 
 static void
-write_ledger (LnRollouts *rollouts, const LcRolloutAction *action, LbList *actions)
+write_step_ledger (LnRollouts *rollouts, const LcRolloutAction *action, LbList *actions)
 {
   LnTrackedStep *step = find_step_of_ledger_row (rollouts, action);
 
@@ -136,7 +137,7 @@
 
 /* Routes a trainer's call again after another instance has claimed the step. */
 static void
-reroute_call (LnRollouts *rollouts, LnStepCall *call)
+reroute_step_call (LnRollouts *rollouts, LnStepCall *call)
 {
   lb_list_remove (&rollouts->calls, &call->link);
   ln_rollouts_remove_closed_steps (rollouts);
@@ -152,7 +153,7 @@
     return;
   if (action->error.code == LB_ERROR_STALE_SESSION && call->exchange)
     {
-      reroute_call (rollouts, call);
+      reroute_step_call (rollouts, call);
       return;
     }
   if (action->error.code == LB_OK)
@@ -176,7 +177,7 @@
       post_sample_cancel (rollouts, action);
       break;
     case LC_ROLLOUT_WRITE_LEDGER:
-      write_ledger (rollouts, action, actions);
+      write_step_ledger (rollouts, action, actions);
       break;
     case LC_ROLLOUT_REPLY:
       reply_to_pull (rollouts, action);
@@ -185,7 +186,7 @@
 }
 
 static void
-schedule_next_tick (LnRollouts *rollouts)
+schedule_next_rollouts_tick (LnRollouts *rollouts)
 {
   LbTime next = lc_rollouts_next_tick (rollouts->core);
 
@@ -214,5 +215,5 @@
       execute_rollout_action (rollouts, action, actions);
       lc_rollout_action_free (action);
     }
-  schedule_next_tick (rollouts);
+  schedule_next_rollouts_tick (rollouts);
 }
--- a/packages/node/src/rollout/ln-rollouts.c
+++ b/packages/node/src/rollout/ln-rollouts.c
@@ -39,7 +39,7 @@
  * trainer keeps using an address that answers, so relaying its calls without a time limit would
  * keep the drain from ending. A refused trainer switches to another instance. */
 static bool
-must_refuse_call (LnRollouts *rollouts, const LnStepCall *call, LbTime now)
+must_refuse_call_after_drain_time (LnRollouts *rollouts, const LnStepCall *call, LbTime now)
 {
   LbTime drain_time = rollouts->context->settings->drain.drain_ms * LB_MSEC;
 
@@ -48,13 +48,13 @@
 }
 
 static void
-receive_exchange (LnRollouts *rollouts, LnExchange *exchange)
+receive_trainer_request (LnRollouts *rollouts, LnExchange *exchange)
 {
   LbError error = { .code = LB_OK };
   LbTime now = lb_clock_monotonic ();
   LnStepCall *call = ln_step_call_parse (exchange, rollouts->core, now, &error);
 
-  if (call && must_refuse_call (rollouts, call, now))
+  if (call && must_refuse_call_after_drain_time (rollouts, call, now))
     {
       lb_error_set (&error, LB_ERROR_DRAINING, "", "this instance is shutting down");
       ln_exchange_reply_error (exchange, &error, LB_SEC);
@@ -76,7 +76,7 @@
 }
 
 static LnStepCall *
-find_call_in_progress (LnRollouts *rollouts, uint64_t id)
+find_step_call_in_progress (LnRollouts *rollouts, uint64_t id)
 {
   LnStepCall *call = ln_rollouts_find_call_by_id (&rollouts->calls, id);
 
@@ -91,7 +91,7 @@
 static void
 end_call_of_disconnected_trainer (LnRollouts *rollouts, LnExchange *exchange)
 {
-  LnStepCall *call = find_call_in_progress (rollouts, ln_exchange_id (exchange));
+  LnStepCall *call = find_step_call_in_progress (rollouts, ln_exchange_id (exchange));
 
   if (!call)
     return;
@@ -104,7 +104,7 @@
 }
 
 static void
-apply_config (LnRollouts *rollouts, const LcResourceSet *set)
+apply_resource_config (LnRollouts *rollouts, const LcResourceSet *set)
 {
   LbList actions;
 
@@ -116,7 +116,7 @@
 }
 
 static void
-update_members (LnRollouts *rollouts, const LnMembersMessage *message)
+update_member_list (LnRollouts *rollouts, const LnMembersMessage *message)
 {
   free (rollouts->members);
   rollouts->members = lb_memdup (message->members, message->n_members * sizeof (LnMember));
@@ -125,7 +125,7 @@
 }
 
 static void
-update_pool_version (LnRollouts *rollouts, const LnPoolVersionMessage *message)
+update_newest_pool_version (LnRollouts *rollouts, const LnPoolVersionMessage *message)
 {
   LbList actions;
 
@@ -196,13 +196,13 @@
   switch ((LnMessageType)message->type)
     {
     case LN_EXCHANGE:
-      receive_exchange (rollouts, ((const LnExchangeMessage *)message)->exchange);
+      receive_trainer_request (rollouts, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CALLER_DISCONNECTED:
       end_call_of_disconnected_trainer (rollouts, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CONFIG:
-      apply_config (rollouts, ((const LnConfigMessage *)message)->set);
+      apply_resource_config (rollouts, ((const LnConfigMessage *)message)->set);
       break;
     case LN_SAMPLE_PIECE:
       receive_sample_piece (rollouts, (const LnSamplePieceMessage *)message);
@@ -211,13 +211,13 @@
       receive_sample_result (rollouts, (const LnSampleDoneMessage *)message);
       break;
     case LN_POOL_VERSION:
-      update_pool_version (rollouts, (const LnPoolVersionMessage *)message);
+      update_newest_pool_version (rollouts, (const LnPoolVersionMessage *)message);
       break;
     case LN_READY:
       rollouts->is_ready = ((const LnReadyMessage *)message)->ready;
       break;
     case LN_MEMBERS:
-      update_members (rollouts, (const LnMembersMessage *)message);
+      update_member_list (rollouts, (const LnMembersMessage *)message);
       break;
     default:
       break;
@@ -225,7 +225,7 @@
 }
 
 static void
-drain_rollouts (LnTask *task)
+drain_rollouts_task (LnTask *task)
 {
   LnRollouts *rollouts = (LnRollouts *)task;
   LbList actions;
@@ -281,7 +281,7 @@
 
 static const LnTaskClass rollouts_class = { .name = "rollouts",
                                             .receive = receive_rollouts_message,
-                                            .drain = drain_rollouts,
+                                            .drain = drain_rollouts_task,
                                             .is_idle = is_rollouts_task_idle,
                                             .free = free_rollouts_task };
 
--- a/packages/node/src/rollout/ln-step-claim.h
+++ b/packages/node/src/rollout/ln-step-claim.h
@@ -3,8 +3,8 @@
 
 #include "ln-step-store.h"
 
-/* Looks up the owner of a step, and claims the step for this process if it has no live owner. */
-
+/* Outcome of ln_step_claim_start, which looks up the owner of a step and claims the step for
+ * this process if it has no live owner. */
 typedef enum
 {
   LN_STEP_OWNED_HERE,      /* this process owns the step */
--- a/packages/node/src/rollout/ln-step-relay.c
+++ b/packages/node/src/rollout/ln-step-relay.c
@@ -43,7 +43,7 @@
 }
 
 static LbTime
-compute_idle_timeout (const LnStepCall *call)
+compute_relay_idle_timeout (const LnStepCall *call)
 {
   LbTime wait = call->type == LN_STEP_PULL ? call->pull.wait_until - lb_clock_monotonic () : 0;
 
@@ -71,7 +71,7 @@
                               .n_headers = 2,
                               .body = body,
                               .body_length = length,
-                              .idle_timeout = compute_idle_timeout (call) };
+                              .idle_timeout = compute_relay_idle_timeout (call) };
 
   *relay = (Relay){ .call = call, .done = done, .user = user };
   call->relay_owner = *owner;
--- a/packages/node/src/rollout/ln-step-relay.h
+++ b/packages/node/src/rollout/ln-step-relay.h
@@ -3,8 +3,8 @@
 
 #include "ln-step-call.h"
 
-/* Relays a trainer's call to the instance that owns the call's step. */
-
+/* Called when the relay of a trainer's call to the step's owner has ended. failure: LB_OK if the
+ * owner's reply was passed to the trainer. */
 typedef void (*LnStepRelayDone) (LnStepCall *call, LbErrorCode failure, void *user);
 
 /* Sends the call to the owner. Unless the relay is cancelled, calls done once: with LB_OK after
--- a/packages/node/src/rollout/ln-step-samples.c
+++ b/packages/node/src/rollout/ln-step-samples.c
@@ -57,10 +57,10 @@
   return array;
 }
 
-/* Builds the label with the function that handles the pieces an engine streams, so that stored data
- * cannot produce a label that an engine could not. */
+/* Parses the label of a stored sample. Adds its spans with the function that is used for an
+ * engine's pieces, so that stored data cannot produce a label that an engine could not. */
 static LcLabel *
-parse_label (struct json_object *object)
+parse_sample_label (struct json_object *object)
 {
   struct json_object *spans = NULL;
   LcLabel *label = LB_NEW (LcLabel);
@@ -92,7 +92,7 @@
   sample->score = sample->has_score ? json_object_get_double (score) : 0;
   if (!sample->group || !sample->text)
     return false;
-  sample->label = parse_label (object);
+  sample->label = parse_sample_label (object);
   return true;
 }
 
--- a/packages/node/src/rollout/ln-step-samples.h
+++ b/packages/node/src/rollout/ln-step-samples.h
@@ -5,9 +5,8 @@
 
 struct json_object;
 
-/* Converts samples to and from JSON, for trainers and for the next owner of a step. */
-
-/* Returns a JSON array. The staleness of each sample is relative to trainer_version. */
+/* Returns the samples as a JSON array, for a trainer or for the next owner of the step. The
+ * staleness of each sample is relative to trainer_version. */
 struct json_object *
 ln_step_samples_to_json (const LcReadySample *samples, size_t n_samples, LcVersion trainer_version);
 
--- a/packages/node/src/rollout/ln-step-store.c
+++ b/packages/node/src/rollout/ln-step-store.c
@@ -11,8 +11,9 @@
 #include <xxhash.h>
 
 /* Number of steps per subscription whose rows are kept. The transaction that claims step N deletes
- * the rows of step N - MAX_RETAINED_STEPS, which bounds the table without extra writes. */
-#define MAX_RETAINED_STEPS 64
+ * the rows of step N - MAX_RETAINED_STEPS_PER_SUBSCRIPTION, which bounds the table without extra
+ * writes. */
+#define MAX_RETAINED_STEPS_PER_SUBSCRIPTION 64
 
 struct LnStepStore
 {
@@ -165,7 +166,7 @@
 /* --- reading the owner row --- */
 
 static void
-on_owner_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_owner_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   Operation *operation = user;
   LnStepOwner owner = { 0 };
@@ -191,7 +192,7 @@
 
   operation->owner_done = done;
   operation->row_key = format_owner_row_key (key);
-  platform->klass->get (platform, operation->row_key, on_owner_read, operation);
+  platform->klass->get (platform, operation->row_key, on_owner_row_read, operation);
 }
 
 /* --- claiming a step --- */
@@ -204,7 +205,7 @@
 }
 
 static bool
-is_row_of_own_claim (const Operation *operation, const LnStepOwner *owner)
+is_row_written_by_this_claim (const Operation *operation, const LnStepOwner *owner)
 {
   return strcmp (owner->incarnation, operation->owner.incarnation) == 0
          && owner->session == operation->owner.session;
@@ -221,7 +222,7 @@
   if (error == LB_OK && n_rows > 0)
     owner_from_row (&owner, &rows[0]);
   operation->owner.row_version = owner.row_version;
-  if (error == LB_OK && !is_row_of_own_claim (operation, &owner))
+  if (error == LB_OK && !is_row_written_by_this_claim (operation, &owner))
     error = LB_ERROR_CONDITION_FAILED;
   finish_claim_operation (operation, error == LB_ERROR_NOT_FOUND ? LB_ERROR_STORE_AWAY : error);
 }
@@ -230,7 +231,7 @@
  * is lost, and its condition may fail because of an earlier attempt of the same write. If that were
  * reported as a failure, the row would name this instance while no instance serves the step. */
 static void
-on_claim_written (LbErrorCode error, const LpRow *row, void *user)
+on_step_claim_written (LbErrorCode error, const LpRow *row, void *user)
 {
   Operation *operation = user;
 
@@ -251,7 +252,7 @@
   LnStepKey expired_key = operation->key;
   LpCondition condition = { .key = operation->row_key, .version = operation->owner.row_version };
 
-  expired_key.step -= MAX_RETAINED_STEPS;
+  expired_key.step -= MAX_RETAINED_STEPS_PER_SUBSCRIPTION;
   char *expired_owner_row = format_owner_row_key (&expired_key);
   char *expired_ledger_row = format_ledger_row_key (&expired_key);
   LpPut puts[] = { { .key = operation->row_key, .value = operation->row_value },
@@ -262,7 +263,7 @@
                                 .n_conditions = 1,
                                 .puts = puts,
                                 .n_puts = sizeof puts / sizeof puts[0] };
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_claim_written,
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_step_claim_written,
                              operation);
   free (expired_owner_row);
   free (expired_ledger_row);
