--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -25,7 +25,7 @@
   LN_POOL_VERSION,          /* config -> rollouts: a pool's newest version and update interval */
   LN_ENDPOINT_REPORT,       /* calls -> config: load report of an endpoint */
   LN_ENDPOINT_LEAVING,      /* any -> calls: an endpoint is about to stop */
-  LN_ENDPOINT_SWAP,         /* config -> calls: a weight change at an endpoint is due or over */
+  LN_ENDPOINT_SWAP,         /* config -> calls: a weight change at an endpoint is pending or over */
   LN_MEMBERS,               /* peers -> all: the set or state of live instances changed */
   LN_FLEET,                 /* peers -> config: complete rows of the instances in LN_MEMBERS */
   LN_CATALOG_MEMBERS,       /* config -> peers: the instances that the catalog contains */
@@ -62,7 +62,7 @@
   LcRequestSpec spec; /* id from ln_context_next_request_id; kind SERVICE: call to a scorer */
   char *body;         /* owned JSON body of the request to the endpoint */
   char *resume_text;  /* owned text that was generated before spec.resume_at; NULL: none */
-  /* Owned request to send with a dialect, instead of body and resume_text; NULL: no dialect. */
+  /* Owned request to send on a shared platform, instead of body and resume_text; else NULL. */
   LcOutgoingRequest *outgoing;
   LbName organisation; /* organisation that the request belongs to; "": none */
 } LnSampleMessage;
@@ -81,7 +81,7 @@
   LcRequestId request;
   LcPiece piece;
   LbName endpoint;
-  char *text; /* owned text of the piece; NULL without a dialect */
+  char *text; /* owned text of the piece on a shared platform; else NULL */
 } LnSamplePieceMessage;
 
 typedef struct
--- a/packages/node/src/calls/ln-admission.h
+++ b/packages/node/src/calls/ln-admission.h
@@ -7,8 +7,6 @@
 #include "ln-dialect.h"
 #include "ln-messages.h"
 
-/* Decides by the API key of a caller's request whether the request is admitted. */
-
 /* Newest desired state (routes, services and organisations of a shared platform) that a task has
  * received, and when the store last confirmed that it is the newest. */
 typedef struct
@@ -20,6 +18,7 @@
 /* Replaces the desired state by the one in the message, which counts as confirmed now. */
 void ln_admission_state_update (LnAdmissionState *state, const LnDesiredMessage *message);
 
+/* Decides by the API key whether to admit a caller's request. is_public: no key is required. */
 void ln_admission_check_request (const LnContext *context,
                                  const LnAdmissionState *state,
                                  bool is_public,
--- a/packages/node/src/calls/ln-call-reader.c
+++ b/packages/node/src/calls/ln-call-reader.c
@@ -15,9 +15,9 @@
 
 #define PREFIX_BLOCK_BYTES 64
 #define ESTIMATED_BYTES_PER_TOKEN 4
-#define DEFAULT_MAX_TOKENS 16
-#define MAX_MAX_TOKENS 1000000
-#define MAX_PRIORITY 10
+#define DEFAULT_MAX_TOKENS_OF_CALL 16
+#define MAX_TOKENS_LIMIT 1000000
+#define MAX_REQUEST_PRIORITY 10
 
 void
 ln_call_hash_prompt (LcRequestSpec *spec, const char *prompt, size_t length)
@@ -71,7 +71,8 @@
   int64_t priority = 0;
   int64_t deadline_ms = deadline / LB_MSEC;
 
-  if (!parse_integer_header (exchange, "x-priority", -MAX_PRIORITY, MAX_PRIORITY, &priority, error)
+  if (!parse_integer_header (exchange, "x-priority", -MAX_REQUEST_PRIORITY, MAX_REQUEST_PRIORITY,
+                             &priority, error)
       || !parse_integer_header (exchange, "x-deadline-ms", 0, 86400000, &deadline_ms, error))
     return false;
   if (caller && strlen (caller) >= sizeof spec->caller)
@@ -111,15 +112,15 @@
   struct json_object *stream = lb_json_member (body, "stream");
   struct json_object *n = lb_json_member (body, "n");
 
-  call->spec.expected_tokens = DEFAULT_MAX_TOKENS;
+  call->spec.expected_tokens = DEFAULT_MAX_TOKENS_OF_CALL;
   if (max_tokens)
     {
       if (!json_object_is_type (max_tokens, json_type_int))
         return lb_error_set (error, LB_ERROR_BAD_VALUE, "max_tokens", "expected an integer");
       call->spec.expected_tokens = json_object_get_int64 (max_tokens);
-      if (call->spec.expected_tokens < 1 || call->spec.expected_tokens > MAX_MAX_TOKENS)
+      if (call->spec.expected_tokens < 1 || call->spec.expected_tokens > MAX_TOKENS_LIMIT)
         return lb_error_set (error, LB_ERROR_OUT_OF_RANGE, "max_tokens",
-                             "expected a number from 1 to %d", MAX_MAX_TOKENS);
+                             "expected a number from 1 to %d", MAX_TOKENS_LIMIT);
     }
   if (stream && !json_object_is_type (stream, json_type_boolean))
     return lb_error_set (error, LB_ERROR_BAD_VALUE, "stream", "expected true or false");
@@ -145,7 +146,7 @@
 }
 
 static bool
-validate_message (struct json_object *message, size_t index, LbError *error)
+validate_chat_message (struct json_object *message, size_t index, LbError *error)
 {
   char where[48];
 
@@ -160,7 +161,7 @@
 }
 
 static bool
-parse_messages (LnCall *call, struct json_object *body, LbError *error)
+parse_chat_messages (LnCall *call, struct json_object *body, LbError *error)
 {
   struct json_object *messages = lb_json_member (body, "messages");
 
@@ -171,7 +172,7 @@
     return lb_error_set (error, LB_ERROR_BAD_VALUE, "messages",
                          "expected a non-empty array of messages");
   for (size_t i = 0; i < json_object_array_length (messages); i++)
-    if (!validate_message (json_object_array_get_idx (messages, i), i, error))
+    if (!validate_chat_message (json_object_array_get_idx (messages, i), i, error))
       return false;
   const char *text = json_object_to_json_string_ext (messages, JSON_C_TO_STRING_PLAIN);
   ln_call_hash_prompt (&call->spec, text, strlen (text));
@@ -193,7 +194,7 @@
   if (!parse_model (call, body, error) || !parse_generation_options (call, body, error))
     return false;
   if (call->kind == LN_CALL_CHAT)
-    return parse_messages (call, body, error);
+    return parse_chat_messages (call, body, error);
   return parse_prompt (call, body, error);
 }
 
--- a/packages/node/src/calls/ln-call.c
+++ b/packages/node/src/calls/ln-call.c
@@ -329,7 +329,7 @@
 static const char end_event[] = "data: [DONE]\n\n";
 
 static void
-copy_service_answer (LnAttempt *winner, LnAnswer *answer)
+copy_service_reply_to_answer (LnAttempt *winner, LnAnswer *answer)
 {
   const char *type
       = lh_fetch_get_response_header (ln_upstream_get_fetch (winner->upstream), "Content-Type");
@@ -341,7 +341,7 @@
 }
 
 static void
-copy_stream_events (LnCall *call, LnAnswer *answer)
+copy_stream_events_to_answer (LnCall *call, LnAnswer *answer)
 {
   evbuffer_add (call->replay_events, end_event, sizeof end_event - 1);
   LB_COPY (answer->content_type, "text/event-stream");
@@ -351,7 +351,7 @@
 }
 
 static void
-copy_completion_object (LnCall *call, LnAttempt *winner, LnAnswer *answer)
+copy_completion_to_answer (LnCall *call, LnAttempt *winner, LnAnswer *answer)
 {
   struct json_object *object = make_completion_object (call, winner);
 
@@ -366,11 +366,11 @@
   memset (answer, 0, sizeof *answer);
   answer->status = 200;
   if (call->kind == LN_CALL_SERVICE)
-    copy_service_answer (winner, answer);
+    copy_service_reply_to_answer (winner, answer);
   else if (call->wants_stream)
-    copy_stream_events (call, answer);
+    copy_stream_events_to_answer (call, answer);
   else
-    copy_completion_object (call, winner, answer);
+    copy_completion_to_answer (call, winner, answer);
 }
 
 void
@@ -391,7 +391,7 @@
 }
 
 static const char *
-describe_failure (LbErrorCode code)
+describe_call_error (LbErrorCode code)
 {
   return lb_error_proves_not_run (code) ? "the request was not run" : "the request may have run";
 }
@@ -403,7 +403,7 @@
 
   if (!call->exchange)
     return;
-  lb_error_set (&error, code, call->spec.pool, "%s", describe_failure (code));
+  lb_error_set (&error, code, call->spec.pool, "%s", describe_call_error (code));
   ln_exchange_reply_error (call->exchange, &error, retry_after);
   call->exchange = NULL;
 }
--- a/packages/node/src/calls/ln-call.h
+++ b/packages/node/src/calls/ln-call.h
@@ -56,7 +56,7 @@
   bool is_stream_started;
   LbTime last_sent_at;      /* when bytes were last sent on the caller's stream */
   char stream_id[96];       /* id in the events and replies sent to the caller */
-  struct json_object *body; /* request to an engine; NULL: plain service, or with a dialect */
+  struct json_object *body; /* request to an engine; NULL: plain service or shared platform */
   /* The members from method to raw_length are the request to a plain service, all owned. */
   char *method;
   char *path;
@@ -69,7 +69,7 @@
   bool is_usage_counted; /* the call was counted in its organisation's usage */
   bool has_key;
   LcKeyDigest key; /* digest of the API key that the call was admitted with; valid if has_key */
-  LcOutgoingRequest outgoing;     /* with a dialect: the complete request to endpoints */
+  LcOutgoingRequest outgoing;     /* on a shared platform: the complete request to endpoints */
   char *resume_text;              /* text before spec.resume_at, generated earlier; NULL: none */
   struct evbuffer *sent_text;     /* STREAM delivery: text already delivered */
   struct evbuffer *replay_events; /* events already sent, if has_ticket; replayed on a retry */
@@ -81,7 +81,7 @@
 LnCall *ln_call_new (LnCallKind kind);
 void ln_call_free (LnCall *call);
 bool ln_call_is_for_engine (const LnCall *call);
-/* Path of the engine's API that serves the call. Not used with a dialect. */
+/* Path of the engine's API that serves the call. Not used on a shared platform. */
 const char *ln_call_get_engine_path (const LnCall *call);
 /* Fingerprint of the request. Call it before the first attempt, which modifies the body. */
 LcFingerprint ln_call_compute_fingerprint (const LnCall *call);
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -16,7 +16,7 @@
 
 /* Endpoints refuse a request at once, so an attempt that is not refused within this time counts as
  * started. */
-#define ATTEMPT_STARTED_AFTER (300 * LB_MSEC)
+#define ATTEMPT_ASSUMED_STARTED_AFTER (300 * LB_MSEC)
 
 static LbHistogram attempt_duration
     = LB_HISTOGRAM_INIT ("lentilspindle_attempt_seconds",
@@ -51,10 +51,10 @@
 /* Records the weight version that an engine reports in its events. It is more reliable than the
  * endpoint list, which lags behind, and the weight plan, which may be wrong. */
 static void
-record_reported_version (LnCalls *calls,
-                         const LnCall *call,
-                         const LnUpstream *upstream,
-                         LcVersion version)
+record_reported_weight_version (LnCalls *calls,
+                                const LnCall *call,
+                                const LnUpstream *upstream,
+                                LcVersion version)
 {
   LcEndpoints *endpoints = lc_dispatch_get_endpoints (calls->dispatch);
   const LcEndpoint *endpoint
@@ -87,7 +87,7 @@
 
   lb_list_init (&actions);
   if (calls->context->dialect)
-    record_reported_version (calls, call, upstream, piece->version);
+    record_reported_weight_version (calls, call, upstream, piece->version);
   LcPieceVerdict verdict = lc_dispatch_receive_piece (calls->dispatch, call->spec.id,
                                                       ln_upstream_get_attempt_number (upstream),
                                                       piece, lb_clock_monotonic (), &actions);
@@ -135,7 +135,7 @@
 /* Stores the endpoint's number of idle connections for the router, which prefers an endpoint with
  * an idle connection among equally good ones. */
 static void
-update_idle_connection_count (LnCalls *calls, const char *endpoint_name)
+update_endpoint_idle_connections (LnCalls *calls, const char *endpoint_name)
 {
   LcEndpoint *endpoint
       = lc_endpoints_find (lc_dispatch_get_endpoints (calls->dispatch), endpoint_name);
@@ -149,7 +149,7 @@
 
 /* Records the load that the endpoint reports in its reply headers, which saves a load request. */
 static void
-record_reported_load (LnCalls *calls, const LnCall *call, const LnUpstream *upstream)
+record_reported_endpoint_load (LnCalls *calls, const LnCall *call, const LnUpstream *upstream)
 {
   const LcEndpoint *endpoint = lc_endpoints_find (lc_dispatch_get_endpoints (calls->dispatch),
                                                   ln_upstream_get_endpoint_name (upstream));
@@ -190,13 +190,14 @@
   LN_POST (calls->task.hub, duties, message);
 }
 
-/* Counts a running call, since the usage report for its start time may be due before it ends. */
+/* Counts a running call in its organisation's usage, since the usage report for the call's start
+ * time may be due before the call ends. */
 void
 ln_calls_count_running_call_in_usage (LnCalls *calls, LnCall *call, LbTime now)
 {
   LB_LIST_FOREACH (&call->attempts, LnAttempt, link, attempt)
   {
-    if (now - attempt->sent_at >= ATTEMPT_STARTED_AFTER)
+    if (now - attempt->sent_at >= ATTEMPT_ASSUMED_STARTED_AFTER)
       {
         ln_calls_count_call_in_usage (calls, attempt);
         return;
@@ -214,7 +215,9 @@
  * endpoint from a single truncated answer. A stream that is resumed after its last piece is not
  * reported, since its next attempt is a different request. */
 static void
-report_broken_attempt_to_checks (LnCalls *calls, const LnAttempt *attempt, LcAttemptEnd end)
+report_lost_connection_to_endpoint_checks (LnCalls *calls,
+                                           const LnAttempt *attempt,
+                                           LcAttemptEnd end)
 {
   const LnUpstream *upstream = attempt->upstream;
   const LcRequestSpec *spec = &attempt->call->spec;
@@ -236,14 +239,14 @@
   LbList actions;
 
   lb_list_init (&actions);
-  record_reported_load (calls, call, upstream);
-  update_idle_connection_count (calls, ln_upstream_get_endpoint_name (upstream));
+  record_reported_endpoint_load (calls, call, upstream);
+  update_endpoint_idle_connections (calls, ln_upstream_get_endpoint_name (upstream));
   lb_list_remove (&call->attempts, &attempt->link);
   call->ended_attempt = attempt;
   log_attempt_end (attempt, end);
   if (attempt_may_have_run (end))
     ln_calls_count_call_in_usage (calls, attempt);
-  report_broken_attempt_to_checks (calls, attempt, end);
+  report_lost_connection_to_endpoint_checks (calls, attempt, end);
   LcRequestId id = call->spec.id;
   lc_dispatch_record_attempt_end (calls->dispatch, id, ln_upstream_get_attempt_number (upstream),
                                   end, lb_clock_monotonic (), &actions);
@@ -291,7 +294,7 @@
 
 /* A plain service sends nothing while it works, so its idle timeout is the time to the deadline. */
 static LbTime
-get_service_idle_timeout (const LnCall *call)
+get_plain_service_idle_timeout (const LnCall *call)
 {
   LbTime left = call->spec.deadline - lb_clock_monotonic ();
 
@@ -314,7 +317,7 @@
                                 .body = call->raw_body,
                                 .body_length = call->raw_length,
                                 .external_id = call->outgoing.id,
-                                .idle_timeout = get_service_idle_timeout (call) };
+                                .idle_timeout = get_plain_service_idle_timeout (call) };
 
   return ln_upstream_start (calls->context->http_pool, &spec, &handlers, attempt, error);
 }
@@ -375,7 +378,7 @@
           .dialect = dialect,
           .external_id = call->outgoing.id,
           .is_stream = is_stream,
-          .idle_timeout = is_stream ? stream_idle_timeout : get_service_idle_timeout (call) };
+          .idle_timeout = is_stream ? stream_idle_timeout : get_plain_service_idle_timeout (call) };
 
   LB_COPY (attempt_headers.id, call->outgoing.id);
   dialect->write_attempt_headers (&headers_to_write, &attempt_headers);
@@ -399,6 +402,6 @@
     upstream = start_engine_attempt (calls, attempt, action, error);
   else
     upstream = start_service_attempt (calls, attempt, action, error);
-  update_idle_connection_count (calls, action->endpoint);
+  update_endpoint_idle_connections (calls, action->endpoint);
   return upstream;
 }
--- a/packages/node/src/calls/ln-calls-private.h
+++ b/packages/node/src/calls/ln-calls-private.h
@@ -35,7 +35,7 @@
   LnPeriodicCall periodic_call;     /* sends keep-alives, updates gauges, counts usage */
   LnAdmissionState admission_state; /* routes and organisations of a shared platform */
   LcUtilisation *utilisation;
-  LbName overloaded_service; /* service last posted to the peers task; "": none */
+  LbName overloaded_service; /* overloaded service last posted to the peers task; "": none */
   LbTime list_requested_at;  /* when the endpoint list in use was requested; 0: no list yet */
   LbName list_requested_by;  /* instance that requested the endpoint list in use */
   LnCall *by_id;             /* hash table of the active calls, keyed by spec.id */
--- a/packages/node/src/calls/ln-calls-requests.c
+++ b/packages/node/src/calls/ln-calls-requests.c
@@ -94,7 +94,10 @@
 }
 
 static void
-relay_call (LnCalls *calls, LnCall *call, const char *ticket, const LcTicketDecision *decision)
+relay_call_to_ticket_issuer (LnCalls *calls,
+                             LnCall *call,
+                             const char *ticket,
+                             const LcTicketDecision *decision)
 {
   const LnRelayTarget target = { .instance = decision->instance,
                                  .incarnation = decision->incarnation,
@@ -138,7 +141,7 @@
       replay_stored_answer (call->exchange, &decision);
       break;
     case LC_TICKET_RELAY:
-      relay_call (calls, call, ticket, &decision);
+      relay_call_to_ticket_issuer (calls, call, ticket, &decision);
       break;
     case LC_TICKET_REJECT:
       lb_error_set (&error, decision.error, "x-ticket", "the ticket is not valid for this request");
@@ -194,7 +197,7 @@
 }
 
 static LnCall *
-parse_call (LnCalls *calls, LnExchange *exchange)
+parse_call_or_reply_error (LnCalls *calls, LnExchange *exchange)
 {
   static const LnExchangeHandlerClass call_class
       = { .on_caller_disconnected = ln_calls_on_caller_disconnected };
@@ -220,7 +223,7 @@
 }
 
 static bool
-is_call_path (const char *path)
+is_engine_or_service_path (const char *path)
 {
   static const char services[] = "/services/";
 
@@ -261,7 +264,7 @@
       issue_ticket (calls, exchange);
       return;
     }
-  if (!is_call_path (ln_exchange_path (exchange)))
+  if (!is_engine_or_service_path (ln_exchange_path (exchange)))
     {
       refuse_request (calls, exchange, LB_ERROR_UNKNOWN_PATH, "no handler for this path");
       return;
@@ -271,7 +274,7 @@
       refuse_request (calls, exchange, LB_ERROR_DRAINING, "this instance is shutting down");
       return;
     }
-  call = parse_call (calls, exchange);
+  call = parse_call_or_reply_error (calls, exchange);
   if (!call)
     return;
   if (ticket)
--- a/packages/node/src/calls/ln-calls-run.c
+++ b/packages/node/src/calls/ln-calls-run.c
@@ -37,14 +37,14 @@
 }
 
 static void
-add_call (LnCalls *calls, LnCall *call)
+add_active_call (LnCalls *calls, LnCall *call)
 {
   HASH_ADD (hh, calls->by_id, spec.id, sizeof call->spec.id, call);
   lb_list_append (&calls->active_calls, &call->link);
 }
 
 static void
-remove_and_free_call (LnCalls *calls, LnCall *call)
+remove_and_free_active_call (LnCalls *calls, LnCall *call)
 {
   HASH_DELETE (hh, calls->by_id, call);
   lb_list_remove (&calls->active_calls, &call->link);
@@ -132,7 +132,7 @@
 }
 
 static void
-send_attempt (LnCalls *calls, const LcAction *action, LbList *actions)
+start_attempt_or_record_failure (LnCalls *calls, const LcAction *action, LbList *actions)
 {
   LnCall *call = ln_calls_find (calls, action->request);
   LnAttempt *attempt = NULL;
@@ -264,7 +264,7 @@
       else
         ln_call_reply_error (call, code, action->retry_after);
     }
-  remove_and_free_call (calls, call);
+  remove_and_free_active_call (calls, call);
 }
 
 void
@@ -278,7 +278,7 @@
       switch (action->type)
         {
         case LC_ACTION_SEND:
-          send_attempt (calls, action, actions);
+          start_attempt_or_record_failure (calls, action, actions);
           break;
         case LC_ACTION_CANCEL:
           cancel_attempt (calls, action);
@@ -304,7 +304,7 @@
   call->is_submitted = true;
   call->submitted_at = lb_clock_monotonic ();
   call->spec.content = ln_call_compute_fingerprint (call);
-  add_call (calls, call);
+  add_active_call (calls, call);
   if (lc_dispatch_submit (calls->dispatch, &call->spec, lb_clock_monotonic (), &actions,
                           &retry_after, &error))
     {
@@ -321,7 +321,7 @@
     }
   else if (!call->has_ticket)
     ln_calls_post_sample_done (calls, call->spec.id, error.code, NULL);
-  remove_and_free_call (calls, call);
+  remove_and_free_active_call (calls, call);
   ln_calls_perform_actions (calls, &actions);
 }
 
@@ -332,7 +332,7 @@
 
   lb_list_init (&actions);
   lc_dispatch_cancel (calls->dispatch, call->spec.id, lb_clock_monotonic (), &actions);
-  remove_and_free_call (calls, call);
+  remove_and_free_active_call (calls, call);
   ln_calls_perform_actions (calls, &actions);
 }
 
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -14,7 +14,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define KEEP_ALIVE_PERIOD (500 * LB_MSEC)
+#define STREAM_KEEP_ALIVE_PERIOD (500 * LB_MSEC)
 
 static LbMetric in_progress
     = LB_GAUGE_INIT ("lentilspindle_requests_in_progress", NULL, "Requests waiting or running");
@@ -137,7 +137,7 @@
 }
 
 static void
-handle_peer_frame (LnCalls *calls, const LnPeerMessage *frame)
+receive_peer_frame (LnCalls *calls, const LnPeerMessage *frame)
 {
   LnEndpointLeavingMessage leaving;
 
@@ -198,7 +198,7 @@
 }
 
 static void
-calls_receive_message (LnTask *task, const LnMessage *message)
+receive_calls_message (LnTask *task, const LnMessage *message)
 {
   LnCalls *calls = (LnCalls *)task;
   const LnEndpointSwapMessage *swap;
@@ -230,7 +230,7 @@
       record_endpoint_leaving (calls, (const LnEndpointLeavingMessage *)message);
       break;
     case LN_PEER_FRAME:
-      handle_peer_frame (calls, (const LnPeerMessage *)message);
+      receive_peer_frame (calls, (const LnPeerMessage *)message);
       break;
     case LN_DESIRED:
       ln_admission_state_update (&calls->admission_state, (const LnDesiredMessage *)message);
@@ -256,7 +256,7 @@
 }
 
 static void
-calls_drain (LnTask *task)
+drain_calls_task (LnTask *task)
 {
   LnCalls *calls = (LnCalls *)task;
   LbList actions;
@@ -272,7 +272,7 @@
 }
 
 static bool
-calls_is_idle (const LnTask *task)
+is_calls_task_idle (const LnTask *task)
 {
   const LnCalls *calls = (const LnCalls *)task;
 
@@ -281,7 +281,7 @@
 }
 
 static void
-calls_free (LnTask *task)
+free_calls_task (LnTask *task)
 {
   LnCalls *calls = (LnCalls *)task;
 
@@ -306,10 +306,10 @@
 }
 
 static const LnTaskClass calls_class = { .name = "calls",
-                                         .receive = calls_receive_message,
-                                         .drain = calls_drain,
-                                         .is_idle = calls_is_idle,
-                                         .free = calls_free };
+                                         .receive = receive_calls_message,
+                                         .drain = drain_calls_task,
+                                         .is_idle = is_calls_task_idle,
+                                         .free = free_calls_task };
 
 static LcDispatch *
 new_dispatch_from_settings (const LnContext *context)
@@ -327,7 +327,7 @@
 }
 
 static void
-update_gauges (const LnCalls *calls)
+update_request_gauges (const LnCalls *calls)
 {
   lb_metric_set (&in_progress, (int64_t)lc_dispatch_count_in_progress (calls->dispatch));
   lb_metric_set (&waiting_live, (int64_t)lc_dispatch_count_waiting (calls->dispatch, LC_KIND_LIVE));
@@ -363,12 +363,12 @@
   LnCalls *calls = user;
   LbTime now = lb_clock_monotonic ();
 
-  update_gauges (calls);
+  update_request_gauges (calls);
   post_overloaded_service_if_changed (calls);
   ln_crashes_tick (calls->crashes, now);
   LB_LIST_FOREACH (&calls->active_calls, LnCall, link, call)
   {
-    ln_call_send_keep_alive (call, now - KEEP_ALIVE_PERIOD, now);
+    ln_call_send_keep_alive (call, now - STREAM_KEEP_ALIVE_PERIOD, now);
     ln_calls_count_running_call_in_usage (calls, call, now);
   }
 }
@@ -400,7 +400,7 @@
     calls->poller
         = ln_poller_new (context->base, context->http_pool,
                          context->settings->calls.load_poll_ms * LB_MSEC, &handlers, calls);
-  calls->periodic_call = (LnPeriodicCall){ .period = KEEP_ALIVE_PERIOD / 2,
+  calls->periodic_call = (LnPeriodicCall){ .period = STREAM_KEEP_ALIVE_PERIOD / 2,
                                            .callback = on_calls_periodic_timer,
                                            .user = calls };
   ln_ticker_add (ln_context_ticker (context), &calls->periodic_call);
--- a/packages/node/src/calls/ln-claims.c
+++ b/packages/node/src/calls/ln-claims.c
@@ -15,8 +15,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define SWEEP_PERIOD_SECONDS 1
-#define MAX_ROWS_PER_SWEEP 64
+#define EXPIRED_ROW_SWEEP_PERIOD_SECONDS 1
+#define MAX_EXPIRED_ROWS_PER_SWEEP 64
 
 typedef struct
 {
@@ -59,7 +59,7 @@
                        "Transactions that deleted rows of expired idempotency keys");
 
 static void
-on_rows_deleted (LbErrorCode error, const LpRow *row, void *user)
+on_expired_rows_deleted (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   (void)user;
@@ -78,15 +78,15 @@
   (void)fd;
   (void)what;
   LnClaims *claims = user;
-  LpPut puts[MAX_ROWS_PER_SWEEP] = { 0 };
-  char keys[MAX_ROWS_PER_SWEEP][sizeof ((WrittenRow *)0)->key];
+  LpPut puts[MAX_EXPIRED_ROWS_PER_SWEEP] = { 0 };
+  char keys[MAX_EXPIRED_ROWS_PER_SWEEP][sizeof ((WrittenRow *)0)->key];
   char token[LB_NAME_MAX + 40];
   size_t n_puts = 0;
   LbTime now = lb_clock_monotonic ();
 
   LB_LIST_FOREACH (&claims->written_rows, WrittenRow, link, row)
   {
-    if (row->expires_at > now || n_puts == MAX_ROWS_PER_SWEEP)
+    if (row->expires_at > now || n_puts == MAX_EXPIRED_ROWS_PER_SWEEP)
       continue;
     LB_COPY (keys[n_puts], row->key);
     puts[n_puts].key = keys[n_puts];
@@ -100,13 +100,13 @@
             ++claims->n_transactions);
   const LpTransaction transaction = { .token = token, .puts = puts, .n_puts = n_puts };
   claims->platform->klass->transact (claims->platform, &transaction, LP_PRIORITY_STATUS,
-                                     on_rows_deleted, claims);
+                                     on_expired_rows_deleted, claims);
 }
 
 LnClaims *
 ln_claims_new (struct event_base *base, struct LpPlatform *platform, const char *incarnation)
 {
-  const struct timeval period = { .tv_sec = SWEEP_PERIOD_SECONDS };
+  const struct timeval period = { .tv_sec = EXPIRED_ROW_SWEEP_PERIOD_SECONDS };
   LnClaims *claims = LB_NEW (LnClaims);
 
   claims->sweep_timer = event_new (base, -1, EV_PERSIST, on_expired_rows_timer, claims);
@@ -161,7 +161,7 @@
 }
 
 static void
-finish_claim (Claim *claim, const char *ticket)
+finish_key_claim (Claim *claim, const char *ticket)
 {
   if (strcmp (ticket, claim->ticket) == 0)
     remember_written_row (claim);
@@ -172,7 +172,7 @@
 /* Fails the claim with a "not run" error, which is true even if the row was written: no call is
  * dispatched for the claim, and the row then names an unused ticket. */
 static void
-fail_claim (Claim *claim, LbErrorCode cause)
+fail_key_claim (Claim *claim, LbErrorCode cause)
 {
   LbError error = { 0 };
 
@@ -184,20 +184,20 @@
 }
 
 static void
-on_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_claim_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   Claim *claim = user;
 
   if (error == LB_OK && n_rows == 1)
-    finish_claim (claim, rows[0].value);
+    finish_key_claim (claim, rows[0].value);
   else
-    fail_claim (claim, error == LB_OK ? LB_ERROR_NOT_FOUND : error);
+    fail_key_claim (claim, error == LB_OK ? LB_ERROR_NOT_FOUND : error);
 }
 
 /* If the store's reply is lost, the row may or may not have been written. The row is then read
  * back, and names the ticket that holds the key. */
 static void
-on_row_written (LbErrorCode error, const LpRow *row, void *user)
+on_claim_row_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   Claim *claim = user;
@@ -207,14 +207,14 @@
     {
     case LB_OK:
       lb_metric_add (&keys_claimed, 1);
-      finish_claim (claim, claim->ticket);
+      finish_key_claim (claim, claim->ticket);
       break;
     case LB_ERROR_CONDITION_FAILED:
     case LB_ERROR_STORE_UNKNOWN:
-      platform->klass->get (platform, claim->key, on_row_read, claim);
+      platform->klass->get (platform, claim->key, on_claim_row_read, claim);
       break;
     default:
-      fail_claim (claim, error);
+      fail_key_claim (claim, error);
       break;
     }
 }
@@ -256,5 +256,5 @@
   const LpTransaction transaction
       = { .token = token, .conditions = &absent, .n_conditions = 1, .puts = &put, .n_puts = 1 };
   claims->platform->klass->transact (claims->platform, &transaction, LP_PRIORITY_LEDGER,
-                                     on_row_written, claim);
+                                     on_claim_row_written, claim);
 }
--- a/packages/node/src/calls/ln-poller.c
+++ b/packages/node/src/calls/ln-poller.c
@@ -64,7 +64,7 @@
 
 /* A new incarnation of an endpoint restarts the sequence numbers of its cache events. */
 static void
-update_incarnation (Target *target, const char *incarnation)
+update_endpoint_incarnation (Target *target, const char *incarnation)
 {
   if (strcmp (target->incarnation, incarnation) == 0)
     return;
@@ -95,7 +95,7 @@
   report.waiting = json_object_get_int64 (lb_json_member (object, "waiting"));
   report.tokens_per_second = json_object_get_double (lb_json_member (object, "tokens_per_second"));
   report.kv_used = json_object_get_double (lb_json_member (object, "kv_used"));
-  update_incarnation (target, report.incarnation);
+  update_endpoint_incarnation (target, report.incarnation);
   json_object_put (object);
   target->poller->handlers.on_report (target->name, &report, target->poller->user);
 }
--- a/packages/node/src/calls/ln-relay.c
+++ b/packages/node/src/calls/ln-relay.c
@@ -15,10 +15,10 @@
 #include <string.h>
 #include <strings.h>
 
-#define MAX_LISTED_ADDRESSES 3
+#define MAX_LISTED_INSTANCES 3
 /* Added to the call's deadline, so that the timeout reply of the instance that runs the call
  * arrives before the relay's own timeout. */
-#define REPLY_TIMEOUT_MARGIN (2 * LB_SEC)
+#define RELAY_TIMEOUT_MARGIN (2 * LB_SEC)
 
 typedef struct
 {
@@ -103,7 +103,7 @@
   int n_addresses = 0;
 
   text[0] = '\0';
-  for (size_t i = 0; i < relays->n_members && n_addresses < MAX_LISTED_ADDRESSES; i++)
+  for (size_t i = 0; i < relays->n_members && n_addresses < MAX_LISTED_INSTANCES; i++)
     {
       const LnMember *member = &relays->members[i];
       if (member->is_self || !member->alive || member->draining)
@@ -115,7 +115,7 @@
 }
 
 static const LnMember *
-find_live_member (const LnRelays *relays, const LnRelayTarget *target)
+find_live_target_instance (const LnRelays *relays, const LnRelayTarget *target)
 {
   for (size_t i = 0; i < relays->n_members; i++)
     {
@@ -181,7 +181,7 @@
 }
 
 static void
-copy_forwarded_header (const char *name, const char *value, void *user)
+copy_request_header_to_relay (const char *name, const char *value, void *user)
 {
   static const char *const replaced_headers[]
       = { "x-ticket", "idempotency-key", "x-caller", "x-relayed-by", "x-deadline-ms" };
@@ -211,7 +211,7 @@
 
   snprintf (time_left_ms, sizeof time_left_ms, "%lld",
             (long long)(time_left > 0 ? time_left / LB_MSEC : 0));
-  ln_exchange_foreach_request_header (relay->exchange, copy_forwarded_header, &headers);
+  ln_exchange_foreach_request_header (relay->exchange, copy_request_header_to_relay, &headers);
   append_header (&headers, "x-ticket", target->ticket);
   append_header (&headers, "x-caller", target->caller);
   append_header (&headers, "x-deadline-ms", time_left_ms);
@@ -225,7 +225,7 @@
           .n_headers = headers.count,
           .body = body,
           .body_length = length,
-          .idle_timeout = (time_left > 0 ? time_left : 0) + REPLY_TIMEOUT_MARGIN };
+          .idle_timeout = (time_left > 0 ? time_left : 0) + RELAY_TIMEOUT_MARGIN };
   LhFetch *fetch = lh_fetch_start (relays->context->http_pool, &request, &handlers, relay, error);
   free (headers.items);
   free (path);
@@ -237,7 +237,7 @@
 {
   static const LnExchangeHandlerClass relay_class
       = { .on_caller_disconnected = on_caller_disconnected };
-  const LnMember *member = find_live_member (relays, target);
+  const LnMember *member = find_live_target_instance (relays, target);
   LbError error = { 0 };
 
   /* A call is relayed only once, since a second relay could start an endless loop. */
--- a/packages/node/src/calls/ln-routed.c
+++ b/packages/node/src/calls/ln-routed.c
@@ -40,7 +40,7 @@
 } HeaderCopy;
 
 static void
-copy_header_to_outgoing (const char *name, const char *value, void *user)
+copy_header_to_outgoing_request (const char *name, const char *value, void *user)
 {
   HeaderCopy *copy = user;
 
@@ -66,12 +66,15 @@
   call->outgoing.host = lb_strdup (inbound->host);
   call->outgoing.body = lb_memdup (body, length + 1);
   call->outgoing.body_length = length;
-  ln_exchange_foreach_request_header (exchange, copy_header_to_outgoing, &copy);
+  ln_exchange_foreach_request_header (exchange, copy_header_to_outgoing_request, &copy);
 }
 
 /* Returns the earliest of the caller's deadline, the route's timeout and the default deadline. */
 static LbTime
-compute_deadline (const LnCalls *calls, const LcRoute *route, const LnInbound *inbound, LbTime now)
+compute_call_deadline (const LnCalls *calls,
+                       const LcRoute *route,
+                       const LnInbound *inbound,
+                       LbTime now)
 {
   LbTime timeout = calls->context->settings->calls.default_deadline_ms * LB_MSEC;
 
@@ -119,7 +122,7 @@
   call->spec.max_attempts = route->max_attempts;
   call->spec.hedge_after = lc_route_hedge_delay (route);
   call->spec.expected_tokens = 1;
-  call->spec.deadline = compute_deadline (calls, route, inbound, lb_clock_monotonic ());
+  call->spec.deadline = compute_call_deadline (calls, route, inbound, lb_clock_monotonic ());
   LB_COPY (call->spec.caller, route->name);
   LB_COPY (call->spec.pool, service);
   set_call_organisation (call, admission);
--- a/packages/node/src/calls/ln-ticket-calls.c
+++ b/packages/node/src/calls/ln-ticket-calls.c
@@ -10,7 +10,7 @@
 
 #define TICKET_LIFETIME (600 * LB_SEC)
 #define MAX_TICKETS 100000
-#define MAX_STORED_ANSWER_BYTES (32 << 20)
+#define MAX_TOTAL_STORED_ANSWER_BYTES (32 << 20)
 
 typedef struct
 {
@@ -33,7 +33,7 @@
   LnTicketCalls *calls = LB_NEW (LnTicketCalls);
   const LcTicketLimits limits = { .lifetime = TICKET_LIFETIME,
                                   .max_tickets = MAX_TICKETS,
-                                  .max_answer_bytes = MAX_STORED_ANSWER_BYTES,
+                                  .max_answer_bytes = MAX_TOTAL_STORED_ANSWER_BYTES,
                                   .seed = seed };
 
   calls->tickets = lc_tickets_new (instance, incarnation, &limits);
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -12,10 +12,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_EVENT_BYTES (1 << 20)
+#define MAX_STREAM_EVENT_BYTES (1 << 20)
 /* A hundred round trips between data centres. An endpoint that has not accepted a connection within
  * this time is down or overloaded. */
-#define CONNECT_TIMEOUT (250 * LB_MSEC)
+#define ENDPOINT_CONNECT_TIMEOUT (250 * LB_MSEC)
 #define MAX_ERROR_BODY_BYTES (64 << 10)
 
 struct LnUpstream
@@ -24,7 +24,7 @@
   uint32_t attempt;
   LbName endpoint;
   LbName address;
-  char *stream_id; /* id of an engine's stream; NULL: plain service, or with a dialect */
+  char *stream_id; /* id of an engine's stream; NULL: plain service or shared platform */
   LhPool *pool;
   LhFetch *fetch;
   LnUpstreamHandlers handlers;
@@ -34,9 +34,9 @@
       *body; /* body of a service's reply, or of an engine's reply that is not a stream */
   int status;
   bool connection_lost;     /* the connection was lost before the reply was complete */
-  const LnDialect *dialect; /* NULL: the daemon's own protocol */
+  const LnDialect *dialect; /* codec for a shared platform; NULL: the daemon's own protocol */
   char *external_id;        /* id of the request in logs; NULL: none */
-  LnStreamReader *reader;   /* with a dialect: parses the engine's stream; NULL: no stream */
+  LnStreamReader *reader;   /* parses an engine's stream on a shared platform; else NULL */
   LcVersion version;        /* weight version of the stream's last event; 0: unknown */
   bool is_head;             /* the method is HEAD, whose reply has no body */
   bool has_end_marker;      /* the event [DONE], the end of an engine's stream, was received */
@@ -194,7 +194,7 @@
 }
 
 static void
-on_body_bytes (LhFetch *fetch, const char *bytes, size_t length, void *user)
+on_reply_body_bytes (LhFetch *fetch, const char *bytes, size_t length, void *user)
 {
   LnUpstream *upstream = user;
 
@@ -223,7 +223,7 @@
 /* Only a 503 or 429 reply with the error type "leaving" or "not_started" proves that the endpoint
  * did not start the request. */
 static bool
-parse_refusal (LnUpstream *upstream, LcAttemptEnd *end)
+parse_refusal_reply (LnUpstream *upstream, LcAttemptEnd *end)
 {
   struct json_object *object = NULL;
   size_t length;
@@ -290,7 +290,7 @@
     return LC_END_COMPLETE;
   if (result->failure != LB_OK)
     return result->bytes_handed ? LC_END_BROKEN : LC_END_NOT_SENT;
-  if (parse_refusal (upstream, &end))
+  if (parse_refusal_reply (upstream, &end))
     return end;
   if (!upstream->stream_id)
     return has_delimited_body (upstream) ? LC_END_COMPLETE : LC_END_BROKEN;
@@ -298,7 +298,7 @@
 }
 
 static void
-on_fetch_done (LhFetch *fetch, const LhResult *result, void *user)
+on_attempt_fetch_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   LnUpstream *upstream = user;
 
@@ -331,8 +331,8 @@
 {
   LnUpstream *upstream = LB_NEW (LnUpstream);
   const LhHandlers fetch_handlers
-      = { .on_body_chunk = spec->stream_id || spec->is_stream ? on_body_bytes : NULL,
-          .on_done = on_fetch_done };
+      = { .on_body_chunk = spec->stream_id || spec->is_stream ? on_reply_body_bytes : NULL,
+          .on_done = on_attempt_fetch_done };
   const LhRequest request = { .method = spec->method,
                               .address = spec->address,
                               .path = spec->path,
@@ -341,7 +341,7 @@
                               .n_headers = spec->n_headers,
                               .body = spec->body,
                               .body_length = spec->body_length,
-                              .connect_timeout = CONNECT_TIMEOUT,
+                              .connect_timeout = ENDPOINT_CONNECT_TIMEOUT,
                               .idle_timeout = spec->idle_timeout };
 
   upstream->request = spec->request;
@@ -358,7 +358,7 @@
   upstream->handlers = *handlers;
   upstream->user = user;
   upstream->body = evbuffer_new ();
-  lh_sse_init (&upstream->sse, MAX_EVENT_BYTES);
+  lh_sse_init (&upstream->sse, MAX_STREAM_EVENT_BYTES);
   upstream->fetch = lh_fetch_start (pool, &request, &fetch_handlers, upstream, error);
   if (upstream->fetch)
     return upstream;
--- a/packages/node/src/calls/ln-upstream.h
+++ b/packages/node/src/calls/ln-upstream.h
@@ -23,10 +23,10 @@
   size_t n_headers;
   const char *body;
   size_t body_length;
-  const char *stream_id; /* request_id sent to an engine; NULL: plain service, or with a dialect */
+  const char *stream_id; /* request_id sent to an engine; NULL: plain service or shared platform */
   LbTime idle_timeout;   /* the attempt fails after this time without a received byte */
-  const char *external_id; /* request id in logs; with a dialect, replies must match it */
-  /* The members below are used only with a dialect. */
+  const char *external_id; /* request id in logs; on a shared platform, replies must match it */
+  /* The members below are used only on a shared platform. */
   const LnDialect *dialect;
   const char *host; /* value of the Host header */
   bool is_stream;   /* the reply is an engine's stream of events */
@@ -34,8 +34,8 @@
 
 typedef struct
 {
-  /* Called for each piece of an engine's answer. event: the engine's JSON event that contains the
-   * piece, valid during the callback; NULL with a dialect. */
+  /* Called for each piece of an engine's answer. event: the engine's JSON event that contains
+   * the piece, valid during the callback; NULL on a shared platform. */
   void (*on_piece) (LnUpstream *upstream,
                     const LcPiece *piece,
                     struct json_object *event,
