--- a/packages/node/include/ln-dialect.h
+++ b/packages/node/include/ln-dialect.h
@@ -90,7 +90,7 @@
 {
   LN_ORDER_ACCEPTED,
   LN_ORDER_ALREADY_DONE, /* the engine already has the weight version */
-  LN_ORDER_BUSY,         /* another order is in progress, or orders_before differs */
+  LN_ORDER_BUSY,         /* another order is in progress, or the order count differs */
   LN_ORDER_STALE_FENCE,  /* the engine has seen a higher fencing number */
   LN_ORDER_REFUSED       /* the engine refused the order for another reason */
 } LnOrderOutcome;
@@ -152,7 +152,7 @@
   const char *service;
   const char *data_centre;
   int64_t endpoints;
-  bool is_spot; /* preemptible endpoints at a lower price */
+  bool is_spot; /* the endpoints are preemptible and cost less */
 } LnScaleOrder;
 
 /* Outcome of a duty's call to the platform. */
--- a/packages/node/include/ln-settings.h
+++ b/packages/node/include/ln-settings.h
@@ -52,7 +52,7 @@
   } log;
   struct
   {
-    char operator_token[128]; /* required for operators' requests; empty: none are accepted */
+    char operator_token[128]; /* token of operators' requests; empty: all are refused */
     int64_t max_body_bytes;
     int64_t max_header_bytes;
     int64_t request_read_ms; /* time limit for receiving a complete request */
@@ -72,7 +72,7 @@
   {
     int64_t drain_ms;     /* minimum time to serve callers with cached addresses after SIGTERM */
     int64_t entry_ttl_ms; /* how long callers may cache addresses of instances */
-    int64_t endpoint_ms;  /* a leaving endpoint gets no new work after this time */
+    int64_t endpoint_ms;  /* maximum time until a leaving endpoint gets no new work */
   } drain;
   struct
   {
--- a/packages/node/include/ln-stall.h
+++ b/packages/node/include/ln-stall.h
@@ -13,8 +13,8 @@
  * since a process that was paused or waits for a processor is healthy. */
 typedef struct LnStallDetector LnStallDetector;
 
-/* 10 to 100 times the longest normal loop iteration; handling a list of 1,000 endpoints takes
- * 20 ms. */
+/* Limit of processor time for one iteration of the event loop: 10 to 100 times the longest
+ * normal iteration. Handling a list of 1,000 endpoints takes 20 ms. */
 #define LN_STALL_CPU_LIMIT (3 * LB_SEC)
 
 LnStallDetector *ln_stall_detector_new (struct event_base *base, LbTime cpu_limit);
--- a/packages/node/src/front/ln-entry.c
+++ b/packages/node/src/front/ln-entry.c
@@ -36,7 +36,7 @@
 }
 
 static struct json_object *
-addresses_to_json (const LcEntryChoice *entry, const LcMemberView *views)
+chosen_addresses_to_json (const LcEntryChoice *entry, const LcMemberView *views)
 {
   struct json_object *addresses = json_object_new_array ();
 
@@ -64,13 +64,13 @@
 }
 
 static void
-reply_addresses (LnExchange *exchange,
-                 const LcEntryChoice *entry,
-                 const LcMemberView *views,
-                 int64_t time_to_live_ms)
+reply_chosen_addresses (LnExchange *exchange,
+                        const LcEntryChoice *entry,
+                        const LcMemberView *views,
+                        int64_t time_to_live_ms)
 {
   struct json_object *object = json_object_new_object ();
-  struct json_object *addresses = addresses_to_json (entry, views);
+  struct json_object *addresses = chosen_addresses_to_json (entry, views);
 
   lb_log (LB_LOG_INFO, "entry", LB_TEXT ("caller", get_caller_name (exchange)),
           LB_JSON ("addresses", json_object_to_json_string (addresses)));
@@ -97,6 +97,6 @@
   if (entry.n_chosen == 0)
     reply_no_instance_available (exchange);
   else
-    reply_addresses (exchange, &entry, views, time_to_live_ms);
+    reply_chosen_addresses (exchange, &entry, views, time_to_live_ms);
   free (views);
 }
--- a/packages/node/src/front/ln-exchange.c
+++ b/packages/node/src/front/ln-exchange.c
@@ -19,7 +19,7 @@
 #define JSON_FORMAT (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
 
 /* A caller whose reply has more unsent bytes than this is treated as disconnected. */
-#define MAX_UNSENT_BYTES (16 << 20)
+#define MAX_UNSENT_REPLY_BYTES (16 << 20)
 
 struct LnExchange
 {
@@ -130,7 +130,7 @@
   if (!exchange->owner)
     return;
   /* The owner may reply before it receives this message. The reference keeps the exchange from
-   * being freed earlier. */
+   * being freed until the message is received. */
   exchange->references++;
   message.base.clear = clear_disconnected_message;
   LN_POST (exchange->hub, exchange->owner, message);
@@ -259,7 +259,7 @@
 }
 
 static void
-record_completion (const LnExchange *exchange)
+record_reply_completion (const LnExchange *exchange)
 {
   LnRecorder *recorder = exchange->caller ? exchange->caller->callers->recorder : NULL;
 
@@ -272,7 +272,7 @@
 {
   LnCaller *caller = exchange->caller;
 
-  record_completion (exchange);
+  record_reply_completion (exchange);
   if (caller && exchange->is_disconnected)
     {
       caller->exchange = NULL;
@@ -408,7 +408,7 @@
   evbuffer_free (chunk);
   /* The unsent reply to a caller that has stopped reading must not exhaust the daemon's memory. */
   struct evbuffer *unsent = bufferevent_get_output (exchange->caller->connection->bev);
-  if (evbuffer_get_length (unsent) > MAX_UNSENT_BYTES)
+  if (evbuffer_get_length (unsent) > MAX_UNSENT_REPLY_BYTES)
     ln_exchange_report_disconnect (exchange);
 }
 
--- a/packages/node/src/front/ln-front.c
+++ b/packages/node/src/front/ln-front.c
@@ -31,8 +31,8 @@
   LnContext *context;
   evhtp_t *servers[MAX_LISTENERS];
   size_t n_servers;
-  evhtp_t *peer_server; /* element of servers for other instances; NULL: the peers task listens */
-  evhtp_t *metrics_server; /* element of servers for metrics only; NULL: none */
+  evhtp_t *peer_server; /* server for other instances, in servers; NULL: the peers task listens */
+  evhtp_t *metrics_server; /* server for metrics only, in servers; NULL: none */
   LnCallers callers;
   uint64_t last_exchange_id;
   bool is_ready; /* the store or other instances have confirmed the resources */
--- a/packages/node/src/front/ln-recorder.c
+++ b/packages/node/src/front/ln-recorder.c
@@ -16,11 +16,11 @@
 
 #define MAX_RECORDED_EVENTS 100000
 /* Largest values that `lentilspindle replay` accepts in a trace. */
-#define MAX_TRAINERS 10
+#define MAX_RECORDED_TRAINERS 10
 #define MAX_CALL_TOKENS 4000
 #define MAX_GROUPS_PER_STEP 512
 #define MAX_SAMPLES_PER_GROUP 64
-#define MAX_MIN_SAMPLE_TOKENS 400
+#define MIN_SAMPLE_TOKENS_LIMIT 400
 /* Number of tokens to record for a call without max_tokens. */
 #define DEFAULT_CALL_TOKENS 16
 /* Extra time for each completion in a replay. A replay has other engines and latencies, so it must
@@ -57,8 +57,8 @@
   uint64_t seed;
   LbTime started_at;
   LbList records; /* recorded requests, of type Record */
-  LbName trainers[MAX_TRAINERS];
-  int64_t n_steps[MAX_TRAINERS]; /* number of accepted steps of each trainer */
+  LbName trainers[MAX_RECORDED_TRAINERS];
+  int64_t n_steps[MAX_RECORDED_TRAINERS]; /* number of accepted steps of each trainer */
   int n_trainers;
   int64_t groups_per_step;
   int64_t samples_per_group;
@@ -89,7 +89,7 @@
 }
 
 static int64_t
-clamp_to_positive (int64_t value, int64_t max)
+clamp_from_1_to_max (int64_t value, int64_t max)
 {
   if (value < 1)
     return 1;
@@ -97,7 +97,7 @@
 }
 
 static int64_t
-compute_ms_since_start (const LnRecorder *recorder, LbTime now)
+compute_ms_since_recording_start (const LnRecorder *recorder, LbTime now)
 {
   return (now - recorder->started_at) / LB_MSEC;
 }
@@ -112,7 +112,7 @@
   record = LB_NEW (Record);
   record->type = type;
   record->exchange_id = ln_exchange_id (exchange);
-  record->at_ms = compute_ms_since_start (recorder, now);
+  record->at_ms = compute_ms_since_recording_start (recorder, now);
   record->completed_ms = -1;
   lb_list_append (&recorder->records, &record->link);
   return record;
@@ -150,7 +150,7 @@
 }
 
 static void
-record_call (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
+record_engine_call (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
 {
   struct json_object *body = parse_json_body (exchange);
   Record *record = body ? add_record (recorder, RECORD_CALL, exchange, now) : NULL;
@@ -158,8 +158,8 @@
   if (record)
     {
       record->max_tokens
-          = clamp_to_positive (read_integer_or_default (body, "max_tokens", DEFAULT_CALL_TOKENS),
-                               MAX_CALL_TOKENS);
+          = clamp_from_1_to_max (read_integer_or_default (body, "max_tokens", DEFAULT_CALL_TOKENS),
+                                 MAX_CALL_TOKENS);
       record->deadline_ms = read_deadline_ms (exchange);
     }
   json_object_put (body);
@@ -177,7 +177,7 @@
 }
 
 /* Returns the index of the trainer that the path names, and adds a new trainer. Returns -1 when
- * there are already MAX_TRAINERS trainers. */
+ * there are already MAX_RECORDED_TRAINERS trainers. */
 static int
 find_or_add_trainer (LnRecorder *recorder, const char *path)
 {
@@ -190,14 +190,14 @@
   for (int i = 0; i < recorder->n_trainers; i++)
     if (strcmp (recorder->trainers[i], name) == 0)
       return i;
-  if (recorder->n_trainers == MAX_TRAINERS)
+  if (recorder->n_trainers == MAX_RECORDED_TRAINERS)
     return -1;
   LB_COPY (recorder->trainers[recorder->n_trainers], name);
   return recorder->n_trainers++;
 }
 
 static Record *
-find_step (LnRecorder *recorder, int trainer, int64_t step)
+find_recorded_step (LnRecorder *recorder, int trainer, int64_t step)
 {
   LB_LIST_FOREACH (&recorder->records, Record, link, record)
   {
@@ -219,12 +219,12 @@
     return;
   struct json_object *first = json_object_array_get_idx (groups, 0);
   recorder->groups_per_step
-      = clamp_to_positive ((int64_t)json_object_array_length (groups), MAX_GROUPS_PER_STEP);
+      = clamp_from_1_to_max ((int64_t)json_object_array_length (groups), MAX_GROUPS_PER_STEP);
   recorder->samples_per_group
-      = clamp_to_positive (read_integer_or_default (first, "samples", 1), MAX_SAMPLES_PER_GROUP);
+      = clamp_from_1_to_max (read_integer_or_default (first, "samples", 1), MAX_SAMPLES_PER_GROUP);
   recorder->min_sample_tokens
-      = clamp_to_positive (read_integer_or_default (first, "max_tokens", 60) / 3,
-                           MAX_MIN_SAMPLE_TOKENS);
+      = clamp_from_1_to_max (read_integer_or_default (first, "max_tokens", 60) / 3,
+                             MIN_SAMPLE_TOKENS_LIMIT);
 }
 
 static void
@@ -235,7 +235,7 @@
   int64_t step = body ? read_integer_or_default (body, "step", 0) : 0;
 
   /* A trainer repeats the request for a step after a lost reply; the repetition is not recorded. */
-  if (trainer >= 0 && !find_step (recorder, trainer, step))
+  if (trainer >= 0 && !find_recorded_step (recorder, trainer, step))
     {
       Record *record = add_record (recorder, RECORD_STEP, exchange, now);
       if (record)
@@ -270,7 +270,7 @@
   const char *path = ln_exchange_path (exchange);
 
   if (strcmp (path, "/v1/completions") == 0 || strcmp (path, "/v1/chat/completions") == 0)
-    record_call (recorder, exchange, now);
+    record_engine_call (recorder, exchange, now);
   else if (has_prefix (path, "/services/"))
     record_service_call (recorder, exchange, now);
   else if (has_prefix (path, "/v1/subscriptions/") && has_suffix (path, "/steps"))
@@ -310,12 +310,13 @@
 {
   struct json_object *done = NULL;
   int trainer = find_or_add_trainer (recorder, ln_exchange_path (exchange));
-  Record *record = find_step (recorder, trainer, read_integer_or_default (reply, "step", -1));
+  Record *record
+      = find_recorded_step (recorder, trainer, read_integer_or_default (reply, "step", -1));
 
   if (!record || !json_object_object_get_ex (reply, "done", &done)
       || !json_object_get_boolean (done))
     return;
-  record->completed_ms = compute_ms_since_start (recorder, now);
+  record->completed_ms = compute_ms_since_recording_start (recorder, now);
 }
 
 void
@@ -341,7 +342,7 @@
   Record *record = find_record_of_exchange (recorder, ln_exchange_id (exchange));
 
   if (record && record->type != RECORD_STEP)
-    record->completed_ms = compute_ms_since_start (recorder, now);
+    record->completed_ms = compute_ms_since_recording_start (recorder, now);
 }
 
 static void
--- a/packages/node/src/front/ln-request-scanner.c
+++ b/packages/node/src/front/ln-request-scanner.c
@@ -34,7 +34,7 @@
 }
 
 static void
-begin_line (LnRequestScanner *scanner, int state)
+begin_scanning_line (LnRequestScanner *scanner, int state)
 {
   scanner->state = state;
   scanner->length = 0;
@@ -43,9 +43,9 @@
 }
 
 static void
-begin_request (LnRequestScanner *scanner)
+begin_scanning_request (LnRequestScanner *scanner)
 {
-  begin_line (scanner, REQUEST_LINE);
+  begin_scanning_line (scanner, REQUEST_LINE);
   scanner->has_host = false;
   scanner->is_http_1_0 = false;
   scanner->is_chunked = false;
@@ -75,7 +75,7 @@
 /* Reads from the current header line whether Host is present and how long the body is. ln-framing.c
  * refuses contradictory lengths and codings. */
 static void
-read_header_line (LnRequestScanner *scanner)
+parse_header_line (LnRequestScanner *scanner)
 {
   static const char chunked[] = "chunked";
   const char *content_length = find_header_value (scanner, "Content-Length");
@@ -91,24 +91,24 @@
 
 /* Returns false when a required Host header is missing. */
 static bool
-process_end_of_headers (LnRequestScanner *scanner)
+finish_headers (LnRequestScanner *scanner)
 {
   if (!scanner->has_host && !scanner->is_http_1_0)
     return false;
   scanner->n_headers_complete++;
   if (scanner->is_chunked)
-    begin_line (scanner, CHUNK_SIZE);
+    begin_scanning_line (scanner, CHUNK_SIZE);
   else if (scanner->remaining > 0)
     scanner->state = BODY;
   else
-    begin_request (scanner);
+    begin_scanning_request (scanner);
   return true;
 }
 
 /* Reads a chunk's size. Accepts spaces between the size and a chunk extension, since some older
  * senders write them. Returns false when the size is invalid. */
 static bool
-read_chunk_size (LnRequestScanner *scanner)
+parse_chunk_size (LnRequestScanner *scanner)
 {
   size_t digits = strspn (scanner->line, "0123456789abcdefABCDEF");
   const char *rest = scanner->line + digits;
@@ -121,43 +121,43 @@
   if (scanner->remaining > 0)
     scanner->state = CHUNK;
   else
-    begin_line (scanner, TRAILER_LINE);
+    begin_scanning_line (scanner, TRAILER_LINE);
   return true;
 }
 
 static bool
-process_end_of_request_line (LnRequestScanner *scanner)
+finish_request_line (LnRequestScanner *scanner)
 {
   /* RFC 9112, 2.2: empty lines before a request line are ignored. */
-  begin_line (scanner, scanner->length == 0 ? REQUEST_LINE : HEADER_LINE);
+  begin_scanning_line (scanner, scanner->length == 0 ? REQUEST_LINE : HEADER_LINE);
   return true;
 }
 
 static bool
-process_end_of_line (LnRequestScanner *scanner)
+finish_line (LnRequestScanner *scanner)
 {
   bool is_empty = scanner->length == 0;
 
   switch (scanner->state)
     {
     case REQUEST_LINE:
-      return process_end_of_request_line (scanner);
+      return finish_request_line (scanner);
     case HEADER_LINE:
       if (is_empty)
-        return process_end_of_headers (scanner);
-      read_header_line (scanner);
-      begin_line (scanner, HEADER_LINE);
+        return finish_headers (scanner);
+      parse_header_line (scanner);
+      begin_scanning_line (scanner, HEADER_LINE);
       return true;
     case CHUNK_SIZE:
-      return read_chunk_size (scanner);
+      return parse_chunk_size (scanner);
     case CHUNK_END:
-      begin_line (scanner, CHUNK_SIZE);
+      begin_scanning_line (scanner, CHUNK_SIZE);
       return is_empty;
     default:
       if (is_empty)
-        begin_request (scanner);
+        begin_scanning_request (scanner);
       else
-        begin_line (scanner, TRAILER_LINE);
+        begin_scanning_line (scanner, TRAILER_LINE);
       return true;
     }
 }
@@ -187,7 +187,7 @@
     {
       if (scanner->state == REQUEST_LINE)
         scanner->remaining = 0;
-      return process_end_of_line (scanner);
+      return finish_line (scanner);
     }
   if (c == '\r')
     return true;
@@ -210,9 +210,9 @@
   if (scanner->remaining > 0)
     return n_body;
   if (scanner->state == CHUNK)
-    begin_line (scanner, CHUNK_END);
+    begin_scanning_line (scanner, CHUNK_END);
   else
-    begin_request (scanner);
+    begin_scanning_request (scanner);
   return n_body;
 }
 
