--- a/packages/node/src/rollout/ln-rollouts-owners.c
+++ b/packages/node/src/rollout/ln-rollouts-owners.c
@@ -329,7 +329,7 @@
  * instances accepts cursors of the other, because a cursor names the samples that the trainer has.
  */
 static bool
-can_open_without_store (const LnTrackedStep *step, const LnStepClaimResult *result)
+can_open_step_without_store (const LnTrackedStep *step, const LnStepClaimResult *result)
 {
   return step->content && result->outcome == LN_STEP_CLAIM_FAILED
          && (result->error == LB_ERROR_STORE_AWAY || result->error == LB_ERROR_STORE_UNKNOWN
@@ -359,7 +359,7 @@
   lb_list_init (&waiting_calls);
   while ((link = lb_list_pop (&step->waiting_calls)))
     lb_list_append (&waiting_calls, link);
-  if (can_open_without_store (step, result))
+  if (can_open_step_without_store (step, result))
     {
       LnStepOwner own = { .session = 1 };
       mark_step_open (step, &own, false);
--- a/packages/node/src/rollout/ln-step-store.c
+++ b/packages/node/src/rollout/ln-step-store.c
@@ -42,7 +42,7 @@
 } Operation;
 
 static Operation *
-operation_new (LnStepStore *store, const LnStepKey *key, void *user)
+step_store_operation_new (LnStepStore *store, const LnStepKey *key, void *user)
 {
   Operation *operation = LB_NEW (Operation);
 
@@ -56,7 +56,7 @@
 }
 
 static void
-operation_free (Operation *operation)
+step_store_operation_free (Operation *operation)
 {
   if (operation->store)
     lb_list_remove (&operation->store->operations, &operation->link);
@@ -71,11 +71,11 @@
 /* Frees the operation and returns true if its LnStepStore was freed while the platform processed
  * the operation. */
 static bool
-free_if_store_is_gone (Operation *operation)
+free_operation_if_step_store_is_freed (Operation *operation)
 {
   if (operation->store)
     return false;
-  operation_free (operation);
+  step_store_operation_free (operation);
   return true;
 }
 
@@ -171,14 +171,14 @@
   Operation *operation = user;
   LnStepOwner owner = { 0 };
 
-  if (free_if_store_is_gone (operation))
+  if (free_operation_if_step_store_is_freed (operation))
     return;
   if (error == LB_ERROR_NOT_FOUND)
     error = LB_OK;
   else if (error == LB_OK && n_rows > 0)
     owner_from_row (&owner, &rows[0]);
   operation->owner_done (error, &owner, operation->user);
-  operation_free (operation);
+  step_store_operation_free (operation);
 }
 
 void
@@ -187,7 +187,7 @@
                           LnStepOwnerDone done,
                           void *user)
 {
-  Operation *operation = operation_new (store, key, user);
+  Operation *operation = step_store_operation_new (store, key, user);
   LpPlatform *platform = get_platform (operation);
 
   operation->owner_done = done;
@@ -201,7 +201,7 @@
 finish_claim_operation (Operation *operation, LbErrorCode error)
 {
   operation->owner_done (error, &operation->owner, operation->user);
-  operation_free (operation);
+  step_store_operation_free (operation);
 }
 
 static bool
@@ -217,7 +217,7 @@
   Operation *operation = user;
   LnStepOwner owner = { 0 };
 
-  if (free_if_store_is_gone (operation))
+  if (free_operation_if_step_store_is_freed (operation))
     return;
   if (error == LB_OK && n_rows > 0)
     owner_from_row (&owner, &rows[0]);
@@ -235,7 +235,7 @@
 {
   Operation *operation = user;
 
-  if (free_if_store_is_gone (operation))
+  if (free_operation_if_step_store_is_freed (operation))
     return;
   LpPlatform *platform = get_platform (operation);
   (void)row;
@@ -276,7 +276,7 @@
 
   (void)bytes;
   (void)length;
-  if (free_if_store_is_gone (operation))
+  if (free_operation_if_step_store_is_freed (operation))
     return;
   if (error == LB_OK)
     write_claim_row (operation);
@@ -292,7 +292,7 @@
                           LnStepOwnerDone done,
                           void *user)
 {
-  Operation *operation = operation_new (store, key, user);
+  Operation *operation = step_store_operation_new (store, key, user);
   LpPlatform *platform = get_platform (operation);
   LnStepOwner *owner = &operation->owner;
 
@@ -330,7 +330,7 @@
                                 .samples_length = length };
 
   operation->load_done (error, &stored, operation->user);
-  operation_free (operation);
+  step_store_operation_free (operation);
 }
 
 /* Ignores a failure to read the samples, because samples that are missing are generated again. */
@@ -339,7 +339,7 @@
 {
   Operation *operation = user;
 
-  if (free_if_store_is_gone (operation))
+  if (free_operation_if_step_store_is_freed (operation))
     return;
   finish_load_operation (operation, LB_OK, error == LB_OK ? bytes : NULL,
                          error == LB_OK ? length : 0);
@@ -350,7 +350,7 @@
 {
   Operation *operation = user;
 
-  if (free_if_store_is_gone (operation))
+  if (free_operation_if_step_store_is_freed (operation))
     return;
   if (error != LB_OK)
     {
@@ -370,7 +370,7 @@
 {
   Operation *operation = user;
 
-  if (free_if_store_is_gone (operation))
+  if (free_operation_if_step_store_is_freed (operation))
     return;
   if (error != LB_OK && error != LB_ERROR_NOT_FOUND)
     {
@@ -391,7 +391,7 @@
                          LnStepLoadDone done,
                          void *user)
 {
-  Operation *operation = operation_new (store, key, user);
+  Operation *operation = step_store_operation_new (store, key, user);
   LpPlatform *platform = get_platform (operation);
 
   operation->owner = *owner;
@@ -410,12 +410,12 @@
 {
   Operation *operation = user;
 
-  if (free_if_store_is_gone (operation))
+  if (free_operation_if_step_store_is_freed (operation))
     return;
   bool is_written
       = error == LB_OK && n_rows > 0 && strcmp (rows[0].value, operation->row_value) == 0;
   operation->write_done (is_written ? LB_OK : LB_ERROR_STORE_AWAY, operation->user);
-  operation_free (operation);
+  step_store_operation_free (operation);
 }
 
 static void
@@ -424,7 +424,7 @@
   Operation *operation = user;
 
   (void)row;
-  if (free_if_store_is_gone (operation))
+  if (free_operation_if_step_store_is_freed (operation))
     return;
   if (error == LB_ERROR_STORE_UNKNOWN)
     {
@@ -434,7 +434,7 @@
       return;
     }
   operation->write_done (error, operation->user);
-  operation_free (operation);
+  step_store_operation_free (operation);
 }
 
 static void
@@ -463,7 +463,7 @@
                             LnStepWriteDone done,
                             void *user)
 {
-  Operation *operation = operation_new (store, key, user);
+  Operation *operation = step_store_operation_new (store, key, user);
   char *owner_key = format_owner_row_key (key);
 
   operation->write_done = done;
@@ -480,7 +480,7 @@
 
   (void)bytes;
   (void)length;
-  if (free_if_store_is_gone (operation))
+  if (free_operation_if_step_store_is_freed (operation))
     return;
   if (error == LB_OK)
     {
@@ -488,7 +488,7 @@
       return;
     }
   operation->write_done (error, operation->user);
-  operation_free (operation);
+  step_store_operation_free (operation);
 }
 
 /* Stores the samples before the owner row is cleared, because the next owner may load the samples
@@ -501,7 +501,7 @@
                             LnStepWriteDone done,
                             void *user)
 {
-  Operation *operation = operation_new (store, key, user);
+  Operation *operation = step_store_operation_new (store, key, user);
   LpPlatform *platform = get_platform (operation);
   LnStepOwner released = { .session = own->session };
   char *object = format_samples_object_key (key, own->session);
