--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -348,10 +348,10 @@
 }
 
 static LnUpstream *
-start_attempt_with_dialect (LnCalls *calls,
-                            LnAttempt *attempt,
-                            const LcAction *action,
-                            LbError *error)
+start_attempt_on_shared_platform (LnCalls *calls,
+                                  LnAttempt *attempt,
+                                  const LcAction *action,
+                                  LbError *error)
 {
   static const LnUpstreamHandlers handlers
       = { .on_piece = on_piece_received, .on_end = on_attempt_ended };
@@ -397,7 +397,7 @@
   LnUpstream *upstream = NULL;
 
   if (calls->context->dialect)
-    upstream = start_attempt_with_dialect (calls, attempt, action, error);
+    upstream = start_attempt_on_shared_platform (calls, attempt, action, error);
   else if (ln_call_is_for_engine (attempt->call))
     upstream = start_engine_attempt (calls, attempt, action, error);
   else
--- a/packages/node/src/calls/ln-poller.c
+++ b/packages/node/src/calls/ln-poller.c
@@ -24,8 +24,8 @@
   int64_t next_event;    /* sequence number of the first cache event to request */
   char incarnation[40];
   LbTime load_requested_at;
-  bool is_configured; /* used by ln_poller_configure: the new configuration contains the target */
-} Target;
+  bool is_configured; /* used by ln_poller_configure: the new configuration contains the endpoint */
+} PolledEndpoint;
 
 struct LnPoller
 {
@@ -34,18 +34,18 @@
   LbTime period;
   LnPollerHandlers handlers;
   void *user;
-  LbList targets;
+  LbList polled_endpoints;
 };
 
 static void
-target_free (Target *target)
+polled_endpoint_free (PolledEndpoint *endpoint)
 {
-  if (target->load_fetch)
-    lh_fetch_cancel (target->load_fetch);
-  if (target->events_fetch)
-    lh_fetch_cancel (target->events_fetch);
-  lb_list_remove (&target->poller->targets, &target->link);
-  free (target);
+  if (endpoint->load_fetch)
+    lh_fetch_cancel (endpoint->load_fetch);
+  if (endpoint->events_fetch)
+    lh_fetch_cancel (endpoint->events_fetch);
+  lb_list_remove (&endpoint->poller->polled_endpoints, &endpoint->link);
+  free (endpoint);
 }
 
 static struct json_object *
@@ -64,28 +64,28 @@
 
 /* A new incarnation of an endpoint restarts the sequence numbers of its cache events. */
 static void
-update_endpoint_incarnation (Target *target, const char *incarnation)
+update_endpoint_incarnation (PolledEndpoint *endpoint, const char *incarnation)
 {
-  if (strcmp (target->incarnation, incarnation) == 0)
+  if (strcmp (endpoint->incarnation, incarnation) == 0)
     return;
-  LB_COPY (target->incarnation, incarnation);
-  target->next_event = 0;
+  LB_COPY (endpoint->incarnation, incarnation);
+  endpoint->next_event = 0;
 }
 
 static void
 on_load_reply (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
-  Target *target = user;
+  PolledEndpoint *endpoint = user;
   struct json_object *object = parse_json_reply (result);
-  LcLoadReport report = { .measured_at = target->load_requested_at };
+  LcLoadReport report = { .measured_at = endpoint->load_requested_at };
 
-  target->load_fetch = NULL;
+  endpoint->load_fetch = NULL;
   if (result->failure == LB_ERROR_TIMEOUT)
-    lh_pool_close_idle_connections (target->poller->pool, target->address);
+    lh_pool_close_idle_connections (endpoint->poller->pool, endpoint->address);
   /* Any reply shows that a plain service is alive, even if it reports no load. */
-  if (!object && !target->is_engine && result->failure == LB_OK)
-    target->poller->handlers.on_report (target->name, &report, target->poller->user);
+  if (!object && !endpoint->is_engine && result->failure == LB_OK)
+    endpoint->poller->handlers.on_report (endpoint->name, &report, endpoint->poller->user);
   if (!object)
     return;
   LB_COPY (report.incarnation, lb_json_text (object, "incarnation", ""));
@@ -95,15 +95,15 @@
   report.waiting = json_object_get_int64 (lb_json_member (object, "waiting"));
   report.tokens_per_second = json_object_get_double (lb_json_member (object, "tokens_per_second"));
   report.kv_used = json_object_get_double (lb_json_member (object, "kv_used"));
-  update_endpoint_incarnation (target, report.incarnation);
+  update_endpoint_incarnation (endpoint, report.incarnation);
   json_object_put (object);
-  target->poller->handlers.on_report (target->name, &report, target->poller->user);
+  endpoint->poller->handlers.on_report (endpoint->name, &report, endpoint->poller->user);
 }
 
 static void
-report_cache_events (Target *target, struct json_object *events)
+report_cache_events (PolledEndpoint *endpoint, struct json_object *events)
 {
-  LnPoller *poller = target->poller;
+  LnPoller *poller = endpoint->poller;
 
   for (size_t i = 0; i < json_object_array_length (events); i++)
     {
@@ -112,7 +112,7 @@
       uint64_t sequence = (uint64_t)json_object_get_int64 (lb_json_member (event, "sequence"));
       bool stored = strcmp (lb_json_text (event, "type", ""), "stored") == 0;
 
-      poller->handlers.on_cache_event (target->name, sequence, stored, prefix, poller->user);
+      poller->handlers.on_cache_event (endpoint->name, sequence, stored, prefix, poller->user);
     }
 }
 
@@ -120,48 +120,48 @@
 on_cache_events_reply (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
-  Target *target = user;
+  PolledEndpoint *endpoint = user;
   struct json_object *object = parse_json_reply (result);
   struct json_object *events = object ? lb_json_member (object, "events") : NULL;
 
-  target->events_fetch = NULL;
+  endpoint->events_fetch = NULL;
   if (json_object_is_type (events, json_type_array))
     {
-      target->next_event = json_object_get_int64 (lb_json_member (object, "next"));
-      report_cache_events (target, events);
+      endpoint->next_event = json_object_get_int64 (lb_json_member (object, "next"));
+      report_cache_events (endpoint, events);
     }
   json_object_put (object);
 }
 
 static LhFetch *
-start_get_request (Target *target,
+start_get_request (PolledEndpoint *endpoint,
                    const char *path,
                    void (*on_done) (LhFetch *fetch, const LhResult *result, void *user))
 {
   const LhHandlers handlers = { .on_done = on_done };
-  LbTime idle_timeout = target->poller->period * 4;
+  LbTime idle_timeout = endpoint->poller->period * 4;
   const LhRequest request = { .method = "GET",
-                              .address = target->address,
+                              .address = endpoint->address,
                               .path = path,
                               .idle_timeout = idle_timeout < LB_SEC ? LB_SEC : idle_timeout };
 
-  return lh_fetch_start (target->poller->pool, &request, &handlers, target, NULL);
+  return lh_fetch_start (endpoint->poller->pool, &request, &handlers, endpoint, NULL);
 }
 
 static void
-poll_target (Target *target)
+poll_endpoint (PolledEndpoint *endpoint)
 {
   char path[64];
 
-  if (!target->load_fetch)
+  if (!endpoint->load_fetch)
     {
-      target->load_requested_at = lb_clock_monotonic ();
-      target->load_fetch = start_get_request (target, "/load", on_load_reply);
+      endpoint->load_requested_at = lb_clock_monotonic ();
+      endpoint->load_fetch = start_get_request (endpoint, "/load", on_load_reply);
     }
-  if (!target->is_engine || target->events_fetch)
+  if (!endpoint->is_engine || endpoint->events_fetch)
     return;
-  snprintf (path, sizeof path, "/cache_events?since=%lld", (long long)target->next_event);
-  target->events_fetch = start_get_request (target, path, on_cache_events_reply);
+  snprintf (path, sizeof path, "/cache_events?since=%lld", (long long)endpoint->next_event);
+  endpoint->events_fetch = start_get_request (endpoint, path, on_cache_events_reply);
 }
 
 static void
@@ -171,9 +171,9 @@
   (void)what;
   LnPoller *poller = user;
 
-  LB_LIST_FOREACH (&poller->targets, Target, link, target)
+  LB_LIST_FOREACH (&poller->polled_endpoints, PolledEndpoint, link, endpoint)
   {
-    poll_target (target);
+    poll_endpoint (endpoint);
   }
 }
 
@@ -191,7 +191,7 @@
   poller->period = period;
   poller->handlers = *handlers;
   poller->user = user;
-  lb_list_init (&poller->targets);
+  lb_list_init (&poller->polled_endpoints);
   poller->timer = event_new (base, -1, EV_PERSIST, on_poll_timer, poller);
   event_add (poller->timer, &tv);
   return poller;
@@ -202,58 +202,59 @@
 {
   if (!poller)
     return;
-  LB_LIST_FOREACH (&poller->targets, Target, link, target)
+  LB_LIST_FOREACH (&poller->polled_endpoints, PolledEndpoint, link, endpoint)
   {
-    target_free (target);
+    polled_endpoint_free (endpoint);
   }
   event_free (poller->timer);
   free (poller);
 }
 
-static Target *
-find_target (LnPoller *poller, const LcEndpointMember *member)
+static PolledEndpoint *
+find_polled_endpoint (LnPoller *poller, const LcEndpointMember *member)
 {
-  LB_LIST_FOREACH (&poller->targets, Target, link, target)
+  LB_LIST_FOREACH (&poller->polled_endpoints, PolledEndpoint, link, endpoint)
   {
-    if (strcmp (target->name, member->name) == 0 && strcmp (target->address, member->address) == 0)
-      return target;
+    if (strcmp (endpoint->name, member->name) == 0
+        && strcmp (endpoint->address, member->address) == 0)
+      return endpoint;
   }
   return NULL;
 }
 
 static void
-add_and_poll_target (LnPoller *poller, const LcEndpointMember *member)
+add_and_poll_endpoint (LnPoller *poller, const LcEndpointMember *member)
 {
-  Target *target = LB_NEW (Target);
+  PolledEndpoint *endpoint = LB_NEW (PolledEndpoint);
 
-  target->poller = poller;
-  target->is_configured = true;
-  target->is_engine = member->kind == LC_ENDPOINT_ENGINE;
-  LB_COPY (target->name, member->name);
-  LB_COPY (target->address, member->address);
-  lb_list_append (&poller->targets, &target->link);
-  poll_target (target);
+  endpoint->poller = poller;
+  endpoint->is_configured = true;
+  endpoint->is_engine = member->kind == LC_ENDPOINT_ENGINE;
+  LB_COPY (endpoint->name, member->name);
+  LB_COPY (endpoint->address, member->address);
+  lb_list_append (&poller->polled_endpoints, &endpoint->link);
+  poll_endpoint (endpoint);
 }
 
 /* Polls new endpoints at once and stops polling removed ones. */
 void
 ln_poller_configure (LnPoller *poller, const LcResourceSet *set)
 {
-  LB_LIST_FOREACH (&poller->targets, Target, link, target)
+  LB_LIST_FOREACH (&poller->polled_endpoints, PolledEndpoint, link, endpoint)
   {
-    target->is_configured = false;
+    endpoint->is_configured = false;
   }
   for (size_t i = 0; i < set->n_endpoints; i++)
     {
-      Target *target = find_target (poller, &set->endpoints[i]);
-      if (target)
-        target->is_configured = true;
+      PolledEndpoint *endpoint = find_polled_endpoint (poller, &set->endpoints[i]);
+      if (endpoint)
+        endpoint->is_configured = true;
       else
-        add_and_poll_target (poller, &set->endpoints[i]);
+        add_and_poll_endpoint (poller, &set->endpoints[i]);
     }
-  LB_LIST_FOREACH (&poller->targets, Target, link, stale)
+  LB_LIST_FOREACH (&poller->polled_endpoints, PolledEndpoint, link, stale)
   {
     if (!stale->is_configured)
-      target_free (stale);
+      polled_endpoint_free (stale);
   }
 }
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -161,7 +161,7 @@
 }
 
 static void
-on_dialect_stream_event (const LnStreamEvent *event, void *user)
+on_shared_platform_stream_event (const LnStreamEvent *event, void *user)
 {
   LnUpstream *upstream = user;
   char *text = NULL;
@@ -254,7 +254,7 @@
 /* A plain service's failure reply is an answer and is forwarded unchanged. An engine's failure
  * reply is no answer, since a sample is either complete or not delivered. */
 static LcAttemptEnd
-classify_attempt_end_by_dialect (const LnUpstream *upstream, const LhResult *result)
+classify_attempt_end_on_shared_platform (const LnUpstream *upstream, const LhResult *result)
 {
   if (result->failure != LB_OK)
     return result->bytes_handed ? LC_END_BROKEN : LC_END_NOT_SENT;
@@ -284,7 +284,7 @@
   LcAttemptEnd end = LC_END_FAILED;
 
   if (upstream->dialect)
-    return classify_attempt_end_by_dialect (upstream, result);
+    return classify_attempt_end_on_shared_platform (upstream, result);
 
   if (upstream->has_end_marker)
     return LC_END_COMPLETE;
@@ -353,7 +353,7 @@
   upstream->dialect = spec->dialect;
   upstream->external_id = spec->external_id ? lb_strdup (spec->external_id) : NULL;
   if (spec->dialect && spec->is_stream)
-    upstream->reader = spec->dialect->stream_new (on_dialect_stream_event, upstream);
+    upstream->reader = spec->dialect->stream_new (on_shared_platform_stream_event, upstream);
   upstream->is_head = strcmp (spec->method, "HEAD") == 0;
   upstream->handlers = *handlers;
   upstream->user = user;
