--- a/packages/node/src/front/ln-framing.c
+++ b/packages/node/src/front/ln-framing.c
@@ -13,7 +13,7 @@
 /* Whether a header's name is a valid token. A name that ends in a space is not: some servers ignore
  * a space before the colon, others do not. */
 static bool
-is_token (const char *name, size_t length)
+is_header_name_token (const char *name, size_t length)
 {
   static const char symbols[] = "!#$%&'*+-.^_`|~";
 
@@ -25,7 +25,7 @@
 
 /* Whether a header's value has no CR, LF or NUL. Some servers end the header at a bare CR or LF. */
 static bool
-is_single_line (const char *value, size_t length)
+is_single_line_header_value (const char *value, size_t length)
 {
   return !memchr (value, '\r', length) && !memchr (value, '\n', length)
          && !memchr (value, '\0', length);
@@ -60,7 +60,8 @@
 ln_framing_add_header (
     LnFraming *framing, const char *name, size_t name_length, const char *value, size_t length)
 {
-  framing->is_ambiguous |= !is_token (name, name_length) || !is_single_line (value, length);
+  framing->is_ambiguous
+      |= !is_header_name_token (name, name_length) || !is_single_line_header_value (value, length);
   if (equals_ignoring_case (name, name_length, "Content-Length"))
     require_unique_valid_header (&framing->has_content_length, is_decimal_number (value, length),
                                  framing);
--- a/packages/node/src/front/ln-front.c
+++ b/packages/node/src/front/ln-front.c
@@ -72,7 +72,7 @@
 /* Finds the task on a shared platform. The path of the peers task is for instances only, so it is
  * accepted only at the peer address, which callers can't reach. */
 static LnTask *
-find_task_by_dialect (const LnFront *front, const LnExchange *exchange, bool is_from_peer)
+find_task_on_shared_platform (const LnFront *front, const LnExchange *exchange, bool is_from_peer)
 {
   static const char *const tasks[] = {
     [LN_INBOUND_RESOLVE] = "peers",         [LN_INBOUND_READINESS] = "front",
@@ -93,7 +93,7 @@
   const LnRoute *best = NULL;
 
   if (front->context->dialect)
-    return find_task_by_dialect (front, exchange, is_from_peer);
+    return find_task_on_shared_platform (front, exchange, is_from_peer);
   for (size_t i = 0; i < sizeof routes / sizeof routes[0]; i++)
     if (route_matches (&routes[i], ln_exchange_method (exchange), ln_exchange_path (exchange))
         && (!best || strlen (routes[i].prefix) > strlen (best->prefix)))
@@ -321,7 +321,7 @@
 /* On a shared platform, instances communicate by HTTP, so the front task listens at the peer
  * address. Otherwise the peers task does. */
 static bool
-listen_for_peers (LnFront *front, LbError *error)
+listen_for_other_instances (LnFront *front, LbError *error)
 {
   LnContext *context = front->context;
 
@@ -365,7 +365,7 @@
   read_bound_address (front->servers[0], front->context->caller_address);
   return (!entry[0] || listen_at_address (front, entry, "instance.entry_address", error))
          && (!ready[0] || listen_at_address (front, ready, "instance.ready_address", error))
-         && listen_for_metrics (front, error) && listen_for_peers (front, error);
+         && listen_for_metrics (front, error) && listen_for_other_instances (front, error);
 }
 
 /* Listens at the configured addresses and stores the bound addresses in context. When it can't
