--- a/packages/node/tests/test-claims.c
+++ b/packages/node/tests/test-claims.c
@@ -74,7 +74,7 @@
   ClaimResult first = { 0 };
   LbTime deadline = lb_clock_monotonic () + 20 * LB_SEC;
 
-  ln_claims_claim_idempotency_key (claims, "shop", "k1", "i1.a.1", 0, on_claimed, &first);
+  ln_claims_claim_idempotency_key (claims, "shop", "k1", "i1.a.1", 0, on_key_claimed, &first);
   run_loop_until (base, &first.is_done);
   cr_assert (first.is_ours);
   while (store_has_claim_rows (base, platform) && lb_clock_monotonic () < deadline)
@@ -82,7 +82,7 @@
   cr_assert_not (store_has_claim_rows (base, platform));
 
   ClaimResult second = { 0 };
-  ln_claims_claim_idempotency_key (claims, "shop", "k1", "i1.a.1", LB_TIME_NEVER, on_claimed,
+  ln_claims_claim_idempotency_key (claims, "shop", "k1", "i1.a.1", LB_TIME_NEVER, on_key_claimed,
                                    &second);
   run_loop_until (base, &second.is_done);
   deadline = lb_clock_monotonic () + 3 * LB_SEC;
