--- a/packages/base/include/lb-error.h
+++ b/packages/base/include/lb-error.h
@@ -79,7 +79,7 @@
 const char *lb_error_name (LbErrorCode code);
 LbErrorCode lb_error_from_name (const char *name);
 int lb_error_http_status (LbErrorCode code);
-bool lb_error_proves_not_run (LbErrorCode code);
+bool lb_error_proves_request_not_run (LbErrorCode code);
 
 /* Sets *error unless error is NULL. Always returns false, so that a function that reports failure
  * by false can return this call. */
--- a/packages/base/src/lb-error.c
+++ b/packages/base/src/lb-error.c
@@ -102,7 +102,7 @@
 /* Whether an error of this type proves that no byte of the request reached an endpoint, so that the
  * request did not run. */
 bool
-lb_error_proves_not_run (LbErrorCode code)
+lb_error_proves_request_not_run (LbErrorCode code)
 {
   return get_type_info (code)->proves_not_run;
 }
--- a/packages/base/src/lb-switch.c
+++ b/packages/base/src/lb-switch.c
@@ -45,7 +45,7 @@
 }
 
 void
-lb_switch_disable (const char *name)
+lb_switch_disable_optimisation (const char *name)
 {
   int id = find_switch_by_name (name);
 
@@ -60,7 +60,7 @@
 }
 
 void
-lb_switch_enable_all (void)
+lb_switch_enable_all_optimisations (void)
 {
   memset (is_off, 0, sizeof is_off);
 }
--- a/packages/base/tests/test-switch.c
+++ b/packages/base/tests/test-switch.c
@@ -7,10 +7,10 @@
 {
   for (int i = 0; i < LB_N_SWITCHES; i++)
     cr_assert (lb_switch_is_on ((LbSwitch)i));
-  lb_switch_disable ("moves");
+  lb_switch_disable_optimisation ("moves");
   cr_assert_not (lb_switch_is_on (LB_SWITCH_MOVES));
   cr_assert (lb_switch_is_on (LB_SWITCH_HEDGING));
-  lb_switch_enable_all ();
+  lb_switch_enable_all_optimisations ();
   cr_assert (lb_switch_is_on (LB_SWITCH_MOVES));
 }
 
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -201,7 +201,8 @@
     retry_after = lc_dispatch_compute_retry_after (dispatch, request->pool, &key, now);
   cancel_and_unlink_request (dispatch, request, now, actions);
   if (!lc_dispatch_check_invariant (dispatch,
-                                    !lb_error_proves_not_run (error) || !request->may_have_run,
+                                    !lb_error_proves_request_not_run (error)
+                                        || !request->may_have_run,
                                     "not-run-is-a-proof", request->id))
     error = LB_ERROR_OUTCOME_UNKNOWN;
 
--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -317,7 +317,7 @@
   if (error == LB_OK)
     store_answer (tickets, ticket, status, answer, answer_length);
   else
-    ticket->state = lb_error_proves_not_run (error) ? TICKET_UNUSED : TICKET_SPENT;
+    ticket->state = lb_error_proves_request_not_run (error) ? TICKET_UNUSED : TICKET_SPENT;
   schedule_expiry (tickets, ticket, now);
 }
 
--- a/packages/core/tests/test-dispatch-not-run.c
+++ b/packages/core/tests/test-dispatch-not-run.c
@@ -54,7 +54,7 @@
 
   LcAction finish = end_attempts_until_finished (&f, &spec, LC_END_NOT_SENT, &n_attempts);
 
-  cr_assert (lb_error_proves_not_run (finish.error));
+  cr_assert (lb_error_proves_request_not_run (finish.error));
   cr_assert_gt (finish.retry_after, 0);
   cr_assert_gt (n_attempts, 1);
   cr_assert_lt (f.now - submitted, 10 * LB_SEC);
@@ -89,7 +89,7 @@
   LcAction finish = fixture_expect_action (&f, LC_ACTION_FINISH, spec.id);
 
   cr_assert_eq (finish.error, LB_ERROR_OUTCOME_UNKNOWN);
-  cr_assert_not (lb_error_proves_not_run (finish.error));
+  cr_assert_not (lb_error_proves_request_not_run (finish.error));
   fixture_clear (&f);
 }
 
@@ -116,7 +116,7 @@
 
       LcAction finish = fixture_expect_action (&f, LC_ACTION_FINISH, spec.id);
 
-      cr_assert_not (lb_error_proves_not_run (finish.error));
+      cr_assert_not (lb_error_proves_request_not_run (finish.error));
       cr_assert (lb_list_is_empty (&f.actions));
       fixture_tick_at (&f, f.now + 60 * LB_SEC);
       cr_assert (lb_list_is_empty (&f.actions));
@@ -284,7 +284,7 @@
 
   LcAction finish = end_attempts_until_finished (&f, &spec, LC_END_NOT_SENT, &n_attempts);
 
-  cr_assert (lb_error_proves_not_run (finish.error));
+  cr_assert (lb_error_proves_request_not_run (finish.error));
   cr_assert_gt (n_attempts, 2);
   cr_assert_leq (n_attempts, 6, "expected at most 6 attempts, the dispatch's own limit");
   fixture_clear (&f);
--- a/packages/core/tests/test-dispatch-quarantine.c
+++ b/packages/core/tests/test-dispatch-quarantine.c
@@ -44,7 +44,7 @@
       LcRequestSpec unknown = new_spec_with_content (&f, kinds[i], 0);
       cr_assert_not (fixture_submit (&f, &crashing));
       cr_assert_eq (f.error.code, LB_ERROR_QUARANTINED);
-      cr_assert (lb_error_proves_not_run (f.error.code));
+      cr_assert (lb_error_proves_request_not_run (f.error.code));
       cr_assert_eq (f.retry_after, lc_quarantine_report_lifetime ());
       cr_assert (fixture_submit (&f, &other));
       fixture_expect_action (&f, LC_ACTION_SEND, other.id);
--- a/packages/core/tests/test-dispatch-random.c
+++ b/packages/core/tests/test-dispatch-random.c
@@ -115,7 +115,7 @@
   if (action->error != LB_OK)
     {
       cr_assert_gt (action->retry_after, 0);
-      cr_assert (!lb_error_proves_not_run (action->error) || call->n_runs == 0,
+      cr_assert (!lb_error_proves_request_not_run (action->error) || call->n_runs == 0,
                  "a request that ran failed as %s, which means not run",
                  lb_error_name (action->error));
       return;
@@ -171,7 +171,7 @@
   *call = (Call){ .spec = spec, .length = 1 + gsl_rng_uniform_int (model->random, 12) };
   if (fixture_submit (&model->f, &spec))
     return;
-  cr_assert (lb_error_proves_not_run (model->f.error.code));
+  cr_assert (lb_error_proves_request_not_run (model->f.error.code));
   call->done = true;
 }
 
--- a/packages/core/tests/test-ticket.c
+++ b/packages/core/tests/test-ticket.c
@@ -61,7 +61,7 @@
 
   cr_assert_eq (decision.action, LC_TICKET_REJECT);
   cr_assert_eq (decision.error, LB_ERROR_OUTCOME_UNKNOWN);
-  cr_assert_not (lb_error_proves_not_run (decision.error));
+  cr_assert_not (lb_error_proves_request_not_run (decision.error));
   lc_tickets_free (before);
   lc_tickets_free (after);
 }
--- a/packages/node/include/ln-context.h
+++ b/packages/node/include/ln-context.h
@@ -39,7 +39,7 @@
 /* Returns a uniformly distributed random number in [0, 1). */
 double ln_context_random_uniform (LnContext *context);
 /* Returns the ticker that all tasks share. */
-struct LnTicker *ln_context_ticker (LnContext *context);
+struct LnTicker *ln_context_get_ticker (LnContext *context);
 void ln_context_clear (LnContext *context);
 
 /* Constructors of the tasks, each in the .c file of its task (ln-front.c for the front task).
--- a/packages/node/include/ln-task.h
+++ b/packages/node/include/ln-task.h
@@ -52,7 +52,7 @@
 /* Posts a copy of the message, which has size bytes, and takes ownership of what the message owns.
  * to: the receiver; NULL: all tasks. */
 void ln_post (LnHub *hub, LnTask *to, const LnMessage *message, size_t size);
-void ln_hub_drain (LnHub *hub);
+void ln_hub_drain_tasks (LnHub *hub);
 bool ln_hub_is_idle (const LnHub *hub);
 
 /* Usage: LnFoo message = { .base = LN_MESSAGE (LN_FOO) }; LN_POST (hub, to, message); */
--- a/packages/node/main/lentilspindled.c
+++ b/packages/node/main/lentilspindled.c
@@ -185,7 +185,7 @@
     return;
   daemon->is_draining = true;
   daemon->min_drain_end = lb_clock_monotonic () + daemon->settings.drain.drain_ms * LB_MSEC;
-  ln_hub_drain (daemon->context.hub);
+  ln_hub_drain_tasks (daemon->context.hub);
   LN_POST (daemon->context.hub, NULL, message);
   event_add (daemon->drain_timer, &period);
 }
@@ -286,7 +286,7 @@
 
   context->settings = &daemon->settings;
   for (size_t i = 0; i < daemon->settings.measure.n_off; i++)
-    lb_switch_disable (daemon->settings.measure.off[i]);
+    lb_switch_disable_optimisation (daemon->settings.measure.off[i]);
   context->base = event_base_new ();
   context->hub = ln_hub_new (context->base);
   context->http_pool = lh_pool_new (context->base);
@@ -297,7 +297,7 @@
   daemon->signals[1] = evsignal_new (context->base, SIGINT, start_drain_on_signal, daemon);
   daemon->signals[2] = evsignal_new (context->base, SIGHUP, reload_settings_on_sighup, daemon);
   daemon->log_flush = (LnPeriodicCall){ .period = LOG_FLUSH_PERIOD, .callback = flush_log };
-  ln_ticker_add (ln_context_ticker (context), &daemon->log_flush);
+  ln_ticker_add (ln_context_get_ticker (context), &daemon->log_flush);
   daemon->stall_detector = ln_stall_detector_new (context->base, LN_STALL_CPU_LIMIT);
   daemon->drain_timer = event_new (context->base, -1, EV_PERSIST, exit_when_idle, daemon);
   for (int i = 0; i < N_HANDLED_SIGNALS; i++)
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -112,7 +112,7 @@
   switch ((LnMessageType)message->type)
     {
     case LN_EXCHANGE:
-      ln_ticker_report_work (ln_context_ticker (batches->context), lb_clock_monotonic ());
+      ln_ticker_report_work (ln_context_get_ticker (batches->context), lb_clock_monotonic ());
       ln_batch_calls_receive_request (batches, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CALLER_DISCONNECTED:
@@ -225,7 +225,7 @@
   lp_follow_free (batches->row_watch);
   lc_desired_unref (batches->admission_state.desired);
   free (batches->members);
-  ln_ticker_remove (ln_context_ticker (batches->context), &batches->tick);
+  ln_ticker_remove (ln_context_get_ticker (batches->context), &batches->tick);
   free (batches);
 }
 
@@ -248,6 +248,6 @@
   ln_batch_heads_start_watch (batches);
   batches->tick
       = (LnPeriodicCall){ .period = TICK_INTERVAL, .callback = on_batches_tick, .user = batches };
-  ln_ticker_add (ln_context_ticker (context), &batches->tick);
+  ln_ticker_add (ln_context_get_ticker (context), &batches->tick);
   return &batches->task;
 }
--- a/packages/node/src/calls/ln-call.c
+++ b/packages/node/src/calls/ln-call.c
@@ -391,7 +391,8 @@
 static const char *
 describe_failure (LbErrorCode code)
 {
-  return lb_error_proves_not_run (code) ? "the request was not run" : "the request may have run";
+  return lb_error_proves_request_not_run (code) ? "the request was not run"
+                                                : "the request may have run";
 }
 
 void
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -219,8 +219,8 @@
   bool is_resumed = attempt->tokens > 0 && spec->resumable && spec->delivery == LC_DELIVER_STREAM;
 
   if (end == LC_END_BROKEN && !is_resumed && ln_upstream_has_lost_connection (upstream))
-    ln_endpoint_checks_request_failed (calls->checks, ln_upstream_endpoint (upstream),
-                                       ln_upstream_address (upstream), spec->content);
+    ln_endpoint_checks_on_request_failed (calls->checks, ln_upstream_endpoint (upstream),
+                                          ln_upstream_address (upstream), spec->content);
 }
 
 /* Keeps the attempt until the resulting actions are performed, since a FINISH action takes the
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -102,8 +102,9 @@
 void
 ln_calls_broadcast_endpoint_leaving (LnCalls *calls, const char *endpoint)
 {
-  ln_leaving_announce (calls->leaving,
-                       lc_endpoints_find (lc_dispatch_get_endpoints (calls->dispatch), endpoint));
+  ln_leaving_announce_endpoint (calls->leaving,
+                                lc_endpoints_find (lc_dispatch_get_endpoints (calls->dispatch),
+                                                   endpoint));
 }
 
 /* An endpoint's registration shows that the endpoint is alive and its weight version, but not its
@@ -298,7 +299,7 @@
   ln_ticket_calls_free (calls->tickets);
   ln_poller_free (calls->poller);
   event_free (calls->dispatch_timer);
-  ln_ticker_remove (ln_context_ticker (calls->context), &calls->periodic_call);
+  ln_ticker_remove (ln_context_get_ticker (calls->context), &calls->periodic_call);
   lc_dispatch_free (calls->dispatch);
   lc_desired_unref (calls->admission_state.desired);
   lc_utilisation_free (calls->utilisation);
@@ -403,6 +404,6 @@
   calls->periodic_call = (LnPeriodicCall){ .period = KEEP_ALIVE_PERIOD / 2,
                                            .callback = on_calls_periodic_timer,
                                            .user = calls };
-  ln_ticker_add (ln_context_ticker (context), &calls->periodic_call);
+  ln_ticker_add (ln_context_get_ticker (context), &calls->periodic_call);
   return &calls->task;
 }
--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -423,9 +423,9 @@
 /* Requests that wait only for a read of the store need no cleanup: the reply is discarded when the
  * read completes. */
 void
-ln_config_api_caller_disconnected (LnConfigTask *task, LnExchange *exchange)
+ln_config_api_on_caller_disconnected (LnConfigTask *task, LnExchange *exchange)
 {
-  if (ln_config_change_caller_disconnected (task, exchange))
+  if (ln_config_change_on_caller_disconnected (task, exchange))
     return;
   LB_LIST_FOREACH (&task->watches, LnConfigWatch, link, watch)
   {
@@ -438,7 +438,7 @@
 }
 
 void
-ln_config_api_tick (LnConfigTask *task, LbTime now)
+ln_config_api_answer_ended_watches (LnConfigTask *task, LbTime now)
 {
   tick_watches (task, now);
   ln_config_change_commit_on_majority (task, now);
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -377,7 +377,7 @@
 /* Drops the exchange's change if it is still queued. A change in progress is completed without a
  * reply. Returns false if no change belongs to the exchange. */
 bool
-ln_config_change_caller_disconnected (LnConfigTask *task, LnExchange *exchange)
+ln_config_change_on_caller_disconnected (LnConfigTask *task, LnExchange *exchange)
 {
   LB_LIST_FOREACH (&task->changes, LnChange, link, change)
   {
--- a/packages/node/src/config/ln-config-task.h
+++ b/packages/node/src/config/ln-config-task.h
@@ -39,15 +39,15 @@
 
 /* ln-config-api.c: handles HTTP requests of operators. */
 void ln_config_api_handle_request (LnConfigTask *task, LnExchange *exchange);
-void ln_config_api_caller_disconnected (LnConfigTask *task, LnExchange *exchange);
-void ln_config_api_tick (LnConfigTask *task, LbTime now);
+void ln_config_api_on_caller_disconnected (LnConfigTask *task, LnExchange *exchange);
+void ln_config_api_answer_ended_watches (LnConfigTask *task, LbTime now);
 bool ln_config_api_is_idle (const LnConfigTask *task);
 void ln_config_api_finish_watches (LnConfigTask *task);
 void ln_config_api_free_requests (LnConfigTask *task);
 
 /* ln-config-change.c: handles POST /v1/resources, one change at a time. */
 void ln_config_change_submit (LnConfigTask *task, LnExchange *exchange);
-bool ln_config_change_caller_disconnected (LnConfigTask *task, LnExchange *exchange);
+bool ln_config_change_on_caller_disconnected (LnConfigTask *task, LnExchange *exchange);
 void ln_config_change_commit_on_majority (LnConfigTask *task, LbTime now);
 void ln_config_change_free_all (LnConfigTask *task);
 
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -212,7 +212,7 @@
   ln_config_execute_actions (task, &actions);
   list_instances_if_due (task, now);
   ln_pool_controllers_tick (task, now);
-  ln_config_api_tick (task, now);
+  ln_config_api_answer_ended_watches (task, now);
 }
 
 static void
@@ -272,7 +272,7 @@
       ln_config_api_handle_request (task, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_CALLER_DISCONNECTED:
-      ln_config_api_caller_disconnected (task, ((const LnExchangeMessage *)message)->exchange);
+      ln_config_api_on_caller_disconnected (task, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_MEMBERS:
       update_members (task, (const LnMembersMessage *)message);
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -172,7 +172,7 @@
   message.set = lc_roster_to_resources (task->roster, ++task->revision,
                                         task->context->settings->weights.endpoints_check_fence);
   message.base.clear = clear_config_message;
-  ln_weight_orders_configure (task->weight_orders, message.set);
+  ln_weight_orders_configure_engines (task->weight_orders, message.set);
   LN_POST (task->task.hub, NULL, message);
 }
 
@@ -213,7 +213,7 @@
 {
   DesiredTask *task = user;
 
-  ln_engine_plans_update_engine (task->engine_plans, entry);
+  ln_engine_plans_record_engine_state (task->engine_plans, entry);
 }
 
 static void
@@ -261,7 +261,7 @@
   for (size_t i = 0; i < n_list; i++)
     if (!task->desired || lc_desired_find_service (task->desired, list[i].service))
       used[n_used++] = list[i];
-  post_endpoint_list_applied (task, ln_catalog_publisher_name (task->catalog), valid_at);
+  post_endpoint_list_applied (task, ln_catalog_get_publisher_name (task->catalog), valid_at);
   if (lc_roster_apply_list (task->roster, used, n_used, valid_at, now))
     post_endpoint_resources (task);
   post_listed_endpoints (task);
@@ -280,7 +280,7 @@
       ln_catalog_invalidate_endpoint_list (task->catalog);
       return;
     }
-  post_endpoint_list_applied (task, ln_catalog_publisher_name (task->catalog), valid_at);
+  post_endpoint_list_applied (task, ln_catalog_get_publisher_name (task->catalog), valid_at);
   if (lc_roster_confirm_list (task->roster, valid_at, now))
     post_endpoint_resources (task);
   post_listed_endpoints (task);
@@ -327,7 +327,7 @@
   LbTime now = lb_clock_monotonic ();
 
   task->has_listed_endpoints = true;
-  ln_catalog_set_subset_bounds (task->catalog, ln_endpoint_list_subset (task->endpoint_list));
+  ln_catalog_set_subset_bounds (task->catalog, ln_endpoint_list_get_subset (task->endpoint_list));
   ln_catalog_set_endpoint_list (task->catalog, list, n_list, requested_at, now);
   post_endpoint_list_applied (task, task->context->instance, requested_at);
   if (lc_roster_apply_list (task->roster, list, n_list, requested_at, now))
@@ -348,7 +348,7 @@
 static LbTime
 get_endpoint_list_period (const DesiredTask *task)
 {
-  return ln_catalog_is_publisher (task->catalog) ? ln_catalog_publish_period (task->catalog)
+  return ln_catalog_is_publisher (task->catalog) ? ln_catalog_get_publish_period (task->catalog)
                                                  : lc_roster_list_period (task->roster);
 }
 
@@ -366,7 +366,8 @@
 {
   DesiredTask *task = user;
 
-  lc_subset_grow (ln_endpoint_list_subset (task->endpoint_list), service, lb_clock_monotonic ());
+  lc_subset_grow (ln_endpoint_list_get_subset (task->endpoint_list), service,
+                  lb_clock_monotonic ());
 }
 
 static void
@@ -376,7 +377,8 @@
   if (ln_catalog_is_publisher (task->catalog))
     ln_catalog_foreach_overloaded_service (task->catalog, grow_endpoint_subset_of_service, task);
   else
-    ln_catalog_apply_subset_bounds (task->catalog, ln_endpoint_list_subset (task->endpoint_list));
+    ln_catalog_apply_subset_bounds (task->catalog,
+                                    ln_endpoint_list_get_subset (task->endpoint_list));
   ln_endpoint_list_request (task->endpoint_list, now);
 }
 
@@ -421,7 +423,7 @@
   bool is_listing = ln_endpoint_list_is_in_progress (task->endpoint_list);
   if (!is_listing && now >= task->next_list_at && must_list_endpoints (task, now))
     request_endpoint_list (task, now);
-  else if (is_listing && now - ln_endpoint_list_requested_at (task->endpoint_list) > period
+  else if (is_listing && now - ln_endpoint_list_get_request_time (task->endpoint_list) > period
            && now >= task->next_list_at && now - task->last_tick_at < MAX_TICK_GAP)
     {
       /* The store does not answer the list request: the last list of endpoints stays in use. */
@@ -451,7 +453,7 @@
 add_model_demand (DesiredTask *task, const LnDemandMessage *demand, LbTime now)
 {
   ln_engine_plans_add_demand (task->engine_plans, demand->model, demand->tokens, now);
-  lc_subset_set_demand (ln_endpoint_list_subset (task->endpoint_list), demand->model,
+  lc_subset_set_demand (ln_endpoint_list_get_subset (task->endpoint_list), demand->model,
                         demand->n_items);
 }
 
@@ -507,7 +509,7 @@
 {
   DesiredTask *task = (DesiredTask *)base;
 
-  ln_ticker_remove (ln_context_ticker (task->context), &task->tick);
+  ln_ticker_remove (ln_context_get_ticker (task->context), &task->tick);
   ln_weight_orders_free (task->weight_orders);
   ln_engine_plans_free (task->engine_plans);
   lc_roster_free (task->roster);
@@ -552,6 +554,6 @@
       = lp_follow_new (context->platform, &follow_settings, on_operator_rows_changed, task);
   task->last_tick_at = lb_clock_monotonic ();
   task->tick = (LnPeriodicCall){ .period = TICK_PERIOD, .callback = on_desired_tick, .user = task };
-  ln_ticker_add (ln_context_ticker (context), &task->tick);
+  ln_ticker_add (ln_context_get_ticker (context), &task->tick);
   return &task->task;
 }
--- a/packages/node/src/duties/ln-duties.c
+++ b/packages/node/src/duties/ln-duties.c
@@ -60,9 +60,9 @@
   bool held = ln_duty_lease_is_held (duties->lease);
 
   if (duties->usage_reporter)
-    ln_usage_reporter_set_duty_held (duties->usage_reporter, held);
+    ln_usage_reporter_set_lease_held (duties->usage_reporter, held);
   if (duties->scaler)
-    ln_scaler_set_duty_held (duties->scaler, held);
+    ln_scaler_set_lease_held (duties->scaler, held);
   post_duty_if_changed (duties, held);
 }
 
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -52,7 +52,7 @@
 }
 
 void
-ln_scaler_set_duty_held (LnScaler *scaler, bool held)
+ln_scaler_set_lease_held (LnScaler *scaler, bool held)
 {
   scaler->duty_epoch++;
   if (held)
--- a/packages/node/src/duties/ln-true-time.c
+++ b/packages/node/src/duties/ln-true-time.c
@@ -54,7 +54,7 @@
 }
 
 int64_t
-ln_true_time_local_clock_offset_ms (const LnContext *context, LbTime now)
+ln_true_time_get_local_clock_offset_ms (const LnContext *context, LbTime now)
 {
   int64_t store_ms = lp_platform_get_store_clock_ms_at (context->platform, now);
 
--- a/packages/node/src/duties/ln-true-time.h
+++ b/packages/node/src/duties/ln-true-time.h
@@ -19,6 +19,6 @@
 /* Converts the monotonic time `at` to true time as Unix milliseconds. */
 int64_t ln_true_time_to_unix_ms (const LnTrueTime *time, LbTime at);
 /* This machine's wall clock minus the store's clock, in ms; 0: the store's clock is not known. */
-int64_t ln_true_time_local_clock_offset_ms (const LnContext *context, LbTime now);
+int64_t ln_true_time_get_local_clock_offset_ms (const LnContext *context, LbTime now);
 
 #endif
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -88,7 +88,7 @@
 }
 
 void
-ln_usage_reporter_set_duty_held (LnUsageReporter *reporter, bool held)
+ln_usage_reporter_set_lease_held (LnUsageReporter *reporter, bool held)
 {
   if (held)
     lc_usage_reports_begin_duty (reporter->reports);
@@ -186,9 +186,10 @@
 
   record_store_error (pending, error, "read");
   pending->has_failed |= error != LB_OK;
-  if (n_rows > 0 && is_duty_epoch_current (pending) && ln_usage_window_from_key (rows[0].key) >= 0)
+  if (n_rows > 0 && is_duty_epoch_current (pending)
+      && ln_usage_parse_window_from_key (rows[0].key) >= 0)
     lc_usage_reports_add_row_window (pending->reporter->reports,
-                                     ln_usage_window_from_key (rows[0].key));
+                                     ln_usage_parse_window_from_key (rows[0].key));
   finish_report_list (pending);
 }
 
@@ -236,10 +237,10 @@
 static size_t
 count_incarnation_rows (const LpRow *rows, size_t n_rows)
 {
-  size_t length = ln_usage_incarnation_prefix_length (rows[0].key);
+  size_t length = ln_usage_get_incarnation_prefix_length (rows[0].key);
   size_t n = 1;
 
-  while (n < n_rows && ln_usage_incarnation_prefix_length (rows[n].key) == length
+  while (n < n_rows && ln_usage_get_incarnation_prefix_length (rows[n].key) == length
          && strncmp (rows[n].key, rows[0].key, length) == 0)
     n++;
   return n;
--- a/packages/node/src/duties/ln-usage-reporter.h
+++ b/packages/node/src/duties/ln-usage-reporter.h
@@ -15,7 +15,7 @@
 
 /* commands, which change the reporter's state */
 /* To be called when this instance gained or lost the lease. */
-void ln_usage_reporter_set_duty_held (LnUsageReporter *reporter, bool held);
+void ln_usage_reporter_set_lease_held (LnUsageReporter *reporter, bool held);
 /* Executes the actions that are due. true_ms: true time (ln-true-time.h) in Unix milliseconds. */
 void ln_usage_reporter_tick (LnUsageReporter *reporter, int64_t true_ms, LbTime now);
 
--- a/packages/node/src/duties/ln-usage-rows.c
+++ b/packages/node/src/duties/ln-usage-rows.c
@@ -49,7 +49,7 @@
 }
 
 int64_t
-ln_usage_window_from_key (const char *key)
+ln_usage_parse_window_from_key (const char *key)
 {
   const char *number = strrchr (key, '/');
   char *end = NULL;
@@ -61,7 +61,7 @@
 }
 
 size_t
-ln_usage_incarnation_prefix_length (const char *key)
+ln_usage_get_incarnation_prefix_length (const char *key)
 {
   const char *colon = strrchr (key, ':');
 
--- a/packages/node/src/duties/ln-usage-rows.h
+++ b/packages/node/src/duties/ln-usage-rows.h
@@ -17,10 +17,10 @@
 /* Writes the key prefix of all rows of the partition to key. */
 void ln_usage_format_partition_prefix (size_t partition, char *key);
 /* Returns the number of the window in a row's key; -1: key is not the key of a usage row. */
-int64_t ln_usage_window_from_key (const char *key);
+int64_t ln_usage_parse_window_from_key (const char *key);
 /* Length of the key prefix that all rows of one incarnation and window share; 0: key is not the key
  * of a usage row. If several rows share the prefix, the largest counts are the valid ones. */
-size_t ln_usage_incarnation_prefix_length (const char *key);
+size_t ln_usage_get_incarnation_prefix_length (const char *key);
 
 /* Counts this instance's requests and writes the counts to the store. */
 typedef struct LnUsageRows LnUsageRows;
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -352,7 +352,7 @@
       scan_rows_if_due (crashes, now);
     }
   lc_quarantine_expire (crashes->quarantine, now);
-  ln_unwritten_rows_retry (crashes->unwritten);
+  ln_unwritten_rows_retry_writes (crashes->unwritten);
   remove_expired_rows (crashes, now);
 }
 
--- a/packages/node/src/endpoints/ln-endpoint-checks.c
+++ b/packages/node/src/endpoints/ln-endpoint-checks.c
@@ -158,10 +158,10 @@
 }
 
 void
-ln_endpoint_checks_request_failed (LnEndpointChecks *checks,
-                                   const char *endpoint,
-                                   const char *address,
-                                   LcFingerprint fingerprint)
+ln_endpoint_checks_on_request_failed (LnEndpointChecks *checks,
+                                      const char *endpoint,
+                                      const char *address,
+                                      LcFingerprint fingerprint)
 {
   Check *check = find_running_check (checks, endpoint);
 
--- a/packages/node/src/endpoints/ln-endpoint-checks.h
+++ b/packages/node/src/endpoints/ln-endpoint-checks.h
@@ -21,9 +21,9 @@
 
 /* Starts a check of the endpoint after a request failed there before any byte of its answer
  * arrived. Requests that fail at the endpoint during the check share its outcome. */
-void ln_endpoint_checks_request_failed (LnEndpointChecks *checks,
-                                        const char *endpoint,
-                                        const char *address,
-                                        LcFingerprint fingerprint);
+void ln_endpoint_checks_on_request_failed (LnEndpointChecks *checks,
+                                           const char *endpoint,
+                                           const char *address,
+                                           LcFingerprint fingerprint);
 
 #endif
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -114,7 +114,7 @@
 
   if (!registration)
     {
-      ln_unreadable_rows_report (list->unreadable_rows, row->key, &error);
+      ln_unreadable_rows_log_once (list->unreadable_rows, row->key, &error);
       return;
     }
   const LcSubsetRow subset_row = { .service = registration->service,
@@ -198,13 +198,13 @@
 }
 
 LbTime
-ln_endpoint_list_requested_at (const LnEndpointList *list)
+ln_endpoint_list_get_request_time (const LnEndpointList *list)
 {
   return list->requested_at;
 }
 
 LcSubset *
-ln_endpoint_list_subset (LnEndpointList *list)
+ln_endpoint_list_get_subset (LnEndpointList *list)
 {
   return list->subset;
 }
--- a/packages/node/src/endpoints/ln-endpoint-list.h
+++ b/packages/node/src/endpoints/ln-endpoint-list.h
@@ -32,7 +32,7 @@
 
 /* queries: leave the list unchanged */
 bool ln_endpoint_list_is_in_progress (const LnEndpointList *list);
-LbTime ln_endpoint_list_requested_at (const LnEndpointList *list);
-LcSubset *ln_endpoint_list_subset (LnEndpointList *list);
+LbTime ln_endpoint_list_get_request_time (const LnEndpointList *list);
+LcSubset *ln_endpoint_list_get_subset (LnEndpointList *list);
 
 #endif
--- a/packages/node/src/endpoints/ln-leaving.c
+++ b/packages/node/src/endpoints/ln-leaving.c
@@ -100,7 +100,7 @@
  * endpoints without an incarnation, since the notification could also apply to a restarted
  * endpoint. */
 void
-ln_leaving_announce (LnLeaving *leaving, const LcEndpoint *endpoint)
+ln_leaving_announce_endpoint (LnLeaving *leaving, const LcEndpoint *endpoint)
 {
   LnTask *peers = ln_hub_find_task (leaving->task->hub, "peers");
 
--- a/packages/node/src/front/ln-exchange.c
+++ b/packages/node/src/front/ln-exchange.c
@@ -332,7 +332,7 @@
   json_object_object_add (inner, "message", json_object_new_string (error->detail));
   json_object_object_add (inner, "where", json_object_new_string (error->where));
   json_object_object_add (inner, "not_run",
-                          json_object_new_boolean (lb_error_proves_not_run (error->code)));
+                          json_object_new_boolean (lb_error_proves_request_not_run (error->code)));
   json_object_object_add (outer, "error", inner);
   return outer;
 }
@@ -357,7 +357,7 @@
       ln_exchange_end (exchange);
       return;
     }
-  if (lb_error_proves_not_run (error->code))
+  if (lb_error_proves_request_not_run (error->code))
     ln_exchange_set_header (exchange, "x-not-run", "1");
   if (retry_after > 0)
     {
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -546,7 +546,7 @@
 }
 
 LbTime
-ln_catalog_publish_period (const LnCatalog *catalog)
+ln_catalog_get_publish_period (const LnCatalog *catalog)
 {
   return lc_catalog_publish_period (catalog->catalog);
 }
@@ -558,7 +558,7 @@
 }
 
 const char *
-ln_catalog_publisher_name (const LnCatalog *catalog)
+ln_catalog_get_publisher_name (const LnCatalog *catalog)
 {
   return lc_catalog_publisher_name (catalog->catalog);
 }
--- a/packages/node/src/membership/ln-catalog.h
+++ b/packages/node/src/membership/ln-catalog.h
@@ -67,10 +67,10 @@
  * do, so that they detect at once an instance that failed together with the publisher. */
 bool ln_catalog_needs_member_list (const LnCatalog *catalog, LbTime now);
 /* Time between two listings by the publisher. */
-LbTime ln_catalog_publish_period (const LnCatalog *catalog);
+LbTime ln_catalog_get_publish_period (const LnCatalog *catalog);
 /* Returns true if the other instances rely on the listings of this instance. */
 bool ln_catalog_is_publisher (const LnCatalog *catalog);
 /* Name of the instance that published last; "": no instance has published. */
-const char *ln_catalog_publisher_name (const LnCatalog *catalog);
+const char *ln_catalog_get_publisher_name (const LnCatalog *catalog);
 
 #endif
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -380,7 +380,7 @@
 }
 
 const LcFleetMember *
-ln_fleet_lists_member_at (const LnFleetLists *lists, size_t index)
+ln_fleet_lists_get_member (const LnFleetLists *lists, size_t index)
 {
   return &lists->members[index];
 }
--- a/packages/node/src/membership/ln-fleet-lists.h
+++ b/packages/node/src/membership/ln-fleet-lists.h
@@ -21,7 +21,7 @@
 
 typedef struct LnFleetLists LnFleetLists;
 
-/* on_change: called when the members (ln_fleet_lists_member_at) or their states have changed. */
+/* on_change: called when the members (ln_fleet_lists_get_member) or their states have changed. */
 LnFleetLists *ln_fleet_lists_new (struct LpPlatform *platform,
                                   const char *self,
                                   void (*on_change) (void *user),
@@ -43,6 +43,6 @@
  * current or an earlier incarnation. */
 bool ln_fleet_lists_has_duty_row (const LnFleetLists *lists, const char *instance);
 size_t ln_fleet_lists_count_members (const LnFleetLists *lists);
-const LcFleetMember *ln_fleet_lists_member_at (const LnFleetLists *lists, size_t index);
+const LcFleetMember *ln_fleet_lists_get_member (const LnFleetLists *lists, size_t index);
 
 #endif
--- a/packages/node/src/membership/ln-fleet-renewal.c
+++ b/packages/node/src/membership/ln-fleet-renewal.c
@@ -176,7 +176,7 @@
 }
 
 void
-ln_fleet_renewal_write_now (LnFleetRenewal *renewal, LbTime now)
+ln_fleet_renewal_write_row_now (LnFleetRenewal *renewal, LbTime now)
 {
   renew_directory_row (renewal, now);
   if (is_on_duty (renewal, now) && !renewal->is_removing_duty_row)
--- a/packages/node/src/membership/ln-fleet-renewal.h
+++ b/packages/node/src/membership/ln-fleet-renewal.h
@@ -12,7 +12,7 @@
 typedef struct LnFleetRenewal LnFleetRenewal;
 
 /* The caller keeps the state in `row` up to date. Changes are written by the next renewal or by
- * ln_fleet_renewal_write_now. */
+ * ln_fleet_renewal_write_row_now. */
 LnFleetRenewal *ln_fleet_renewal_new (struct LpPlatform *platform, LcFleetRow *row);
 void ln_fleet_renewal_free (LnFleetRenewal *renewal);
 
@@ -27,7 +27,7 @@
 /* commands: write rows */
 void ln_fleet_renewal_tick (LnFleetRenewal *renewal, const LnFleetListSummary *summary, LbTime now);
 /* Writes the row at once, after the caller changed the state in it. */
-void ln_fleet_renewal_write_now (LnFleetRenewal *renewal, LbTime now);
+void ln_fleet_renewal_write_row_now (LnFleetRenewal *renewal, LbTime now);
 /* Sets whether this instance runs batches or orders weights. */
 void ln_fleet_renewal_set_duty (LnFleetRenewal *renewal, bool has_duty, LbTime now);
 
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -53,7 +53,7 @@
   message.base.clear = clear_members_message;
   for (size_t i = 0; i < message.n_members; i++)
     {
-      const LcFleetMember *known = ln_fleet_lists_member_at (task->lists, i);
+      const LcFleetMember *known = ln_fleet_lists_get_member (task->lists, i);
       LnMember *member = &message.members[i];
       LB_COPY (member->name, known->row.name);
       LB_COPY (member->incarnation, known->row.incarnation);
@@ -87,7 +87,7 @@
   if (!config || n == 0)
     return;
   message.members
-      = lb_memdup (ln_fleet_lists_member_at (task->lists, 0), n * sizeof (LcFleetMember));
+      = lb_memdup (ln_fleet_lists_get_member (task->lists, 0), n * sizeof (LcFleetMember));
   message.base.clear = clear_fleet_message;
   LN_POST (task->task.hub, config, message);
 }
@@ -99,8 +99,8 @@
 {
   size_t n = ln_fleet_lists_count_members (task->lists);
 
-  return ln_fleet_lists_member_at (task->lists,
-                                   (ln_context_random_seed (task->context) % n + index) % n);
+  return ln_fleet_lists_get_member (task->lists,
+                                    (ln_context_random_seed (task->context) % n + index) % n);
 }
 
 /* Sets the instances that relay store calls of this instance while it is cut off from the store. */
@@ -151,7 +151,7 @@
     return;
   task->own_row.cut = is_cut_off;
   if (!ln_fleet_lists_omits_instance (task->lists, task->own_row.name))
-    ln_fleet_renewal_write_now (task->renewal, now);
+    ln_fleet_renewal_write_row_now (task->renewal, now);
 }
 
 /* Updates the published value only when it changes by more than the jitter of the store's answers,
@@ -159,7 +159,7 @@
 static void
 update_clock_lead (Fleet *task, LbTime now)
 {
-  int64_t lead = ln_true_time_local_clock_offset_ms (task->context, now);
+  int64_t lead = ln_true_time_get_local_clock_offset_ms (task->context, now);
 
   if (task->context->settings->duties.n_kinds == 0 || lead == 0)
     return;
@@ -180,7 +180,7 @@
           .is_omitted = ln_fleet_lists_omits_instance (task->lists, task->own_row.name),
           .has_duty_row = ln_fleet_lists_has_duty_row (task->lists, task->own_row.name) };
   ln_fleet_renewal_tick (task->renewal, &summary, now);
-  ln_ticker_set_idle (ln_context_ticker (task->context),
+  ln_ticker_set_idle (ln_context_get_ticker (task->context),
                       summary.is_omitted && !has_any_duty (task) && !task->own_row.draining);
   ln_fleet_lists_tick (task->lists, now);
 }
@@ -369,7 +369,7 @@
       break;
     case LN_READY:
       task->own_row.ready = ((const LnReadyMessage *)message)->ready;
-      ln_fleet_renewal_write_now (task->renewal, lb_clock_monotonic ());
+      ln_fleet_renewal_write_row_now (task->renewal, lb_clock_monotonic ());
       break;
     default:
       break;
@@ -384,7 +384,7 @@
   Fleet *task = (Fleet *)base;
 
   task->own_row.draining = true;
-  ln_fleet_renewal_write_now (task->renewal, lb_clock_monotonic ());
+  ln_fleet_renewal_write_row_now (task->renewal, lb_clock_monotonic ());
 }
 
 static void
@@ -392,7 +392,7 @@
 {
   Fleet *task = (Fleet *)base;
 
-  ln_ticker_remove (ln_context_ticker (task->context), &task->tick);
+  ln_ticker_remove (ln_context_get_ticker (task->context), &task->tick);
   ln_fleet_renewal_free (task->renewal);
   ln_fleet_lists_free (task->lists);
   free (task);
@@ -422,6 +422,6 @@
   task->lists
       = ln_fleet_lists_new (context->platform, context->instance, on_instance_lists_changed, task);
   task->tick = (LnPeriodicCall){ .period = TICK_PERIOD, .callback = on_fleet_tick, .user = task };
-  ln_ticker_add (ln_context_ticker (context), &task->tick);
+  ln_ticker_add (ln_context_get_ticker (context), &task->tick);
   return &task->task;
 }
--- a/packages/node/src/membership/ln-frame-window.c
+++ b/packages/node/src/membership/ln-frame-window.c
@@ -59,7 +59,10 @@
 /* Frames reach an instance on several paths and out of order. A frame that is WINDOW_FRAMES or more
  * behind the origin's newest frame counts as seen. */
 bool
-ln_frame_window_add (LnFrameWindow *window, const char *name, uint64_t epoch, uint64_t sequence)
+ln_frame_window_record_if_new (LnFrameWindow *window,
+                               const char *name,
+                               uint64_t epoch,
+                               uint64_t sequence)
 {
   Origin *origin = find_or_add_origin (window, name);
 
--- a/packages/node/src/membership/ln-frame-window.h
+++ b/packages/node/src/membership/ln-frame-window.h
@@ -11,7 +11,9 @@
 void ln_frame_window_free (LnFrameWindow *window);
 /* Returns true if the frame was not seen before, and records it as seen. epoch: number of the
  * origin's incarnation, higher for a later one. */
-bool
-ln_frame_window_add (LnFrameWindow *window, const char *origin, uint64_t epoch, uint64_t sequence);
+bool ln_frame_window_record_if_new (LnFrameWindow *window,
+                                    const char *origin,
+                                    uint64_t epoch,
+                                    uint64_t sequence);
 
 #endif
--- a/packages/node/src/membership/ln-outbox.c
+++ b/packages/node/src/membership/ln-outbox.c
@@ -44,7 +44,8 @@
 }
 
 bool
-ln_outbox_add (LnOutbox *outbox, const char *instance, uint8_t *frame, size_t length, LbTime now)
+ln_outbox_add_frame (
+    LnOutbox *outbox, const char *instance, uint8_t *frame, size_t length, LbTime now)
 {
   if (outbox->frames.length >= MAX_QUEUED_FRAMES || outbox->bytes + length > MAX_QUEUED_BYTES)
     {
@@ -74,7 +75,7 @@
 }
 
 size_t
-ln_outbox_expire (LnOutbox *outbox, LbTime now)
+ln_outbox_drop_expired_frames (LnOutbox *outbox, LbTime now)
 {
   size_t before = outbox->frames.length;
 
--- a/packages/node/src/membership/ln-peers-frames.c
+++ b/packages/node/src/membership/ln-peers-frames.c
@@ -80,9 +80,9 @@
 }
 
 void
-ln_peers_expire_outbox (LnPeers *peers, LbTime now)
+ln_peers_drop_expired_frames (LnPeers *peers, LbTime now)
 {
-  lb_metric_add (&frames_dropped, (int64_t)ln_outbox_expire (&peers->outbox, now));
+  lb_metric_add (&frames_dropped, (int64_t)ln_outbox_drop_expired_frames (&peers->outbox, now));
 }
 
 static void
@@ -115,13 +115,13 @@
 /* Broadcast frames are forwarded to all connected instances, since their sender is not connected to
  * each instance. */
 void
-ln_peers_deliver_data (LnPeers *peers, LcLinkId from, const LwMessage *message)
+ln_peers_deliver_task_message (LnPeers *peers, LcLinkId from, const LwMessage *message)
 {
   if (strcmp (message->origin, lc_membership_self (peers->membership)->name) == 0)
     return;
   if (message->is_broadcast
-      && !ln_frame_window_add (peers->seen_frames, message->origin, message->origin_epoch,
-                               message->sequence))
+      && !ln_frame_window_record_if_new (peers->seen_frames, message->origin, message->origin_epoch,
+                                         message->sequence))
     return;
   deliver_to_task (peers, message->origin, message->topic, message->payload,
                    message->payload_length);
@@ -148,12 +148,12 @@
       return;
     }
   uint8_t *frame = lw_message_encode (data, &length);
-  if (!ln_outbox_add (&peers->outbox, name, frame, length, now))
+  if (!ln_outbox_add_frame (&peers->outbox, name, frame, length, now))
     lb_metric_add (&frames_dropped, 1);
 }
 
 void
-ln_peers_send_data (LnPeers *peers, const LnPeerMessage *message)
+ln_peers_send_task_message (LnPeers *peers, const LnPeerMessage *message)
 {
   const LcInstance *self = lc_membership_self (peers->membership);
   LwMessage data = { .type = LW_DATA,
--- a/packages/node/src/membership/ln-peers-handlers.c
+++ b/packages/node/src/membership/ln-peers-handlers.c
@@ -79,7 +79,7 @@
                                       &peers->actions);
       break;
     case LW_DATA:
-      ln_peers_deliver_data (peers, id, message);
+      ln_peers_deliver_task_message (peers, id, message);
       break;
     case LW_HELLO:
     case LW_CHALLENGE:
--- a/packages/node/src/membership/ln-peers-private.h
+++ b/packages/node/src/membership/ln-peers-private.h
@@ -61,11 +61,11 @@
 /* Sends the frames queued in the outbox for the instance `name`, which is the connection's peer. */
 void ln_peers_flush_outbox (LnPeers *peers, LnPeerConnection *connection, const char *name);
 /* Drops the frames that were queued in the outbox for too long. */
-void ln_peers_expire_outbox (LnPeers *peers, LbTime now);
+void ln_peers_drop_expired_frames (LnPeers *peers, LbTime now);
 /* Delivers a frame from another instance to a local task, and forwards it if it is a broadcast. */
-void ln_peers_deliver_data (LnPeers *peers, LcLinkId from, const LwMessage *message);
+void ln_peers_deliver_task_message (LnPeers *peers, LcLinkId from, const LwMessage *message);
 /* Sends a local task's frame to one instance or to all. */
-void ln_peers_send_data (LnPeers *peers, const LnPeerMessage *message);
+void ln_peers_send_task_message (LnPeers *peers, const LnPeerMessage *message);
 
 /* ln-peers-handlers.c: callbacks of all connections, dialled or accepted; `user` is the LnPeers. */
 extern const LnPeerHandlers ln_peers_handlers;
--- a/packages/node/src/membership/ln-peers.c
+++ b/packages/node/src/membership/ln-peers.c
@@ -61,7 +61,7 @@
     start_membership (peers, now);
   ln_peers_free_connections (&peers->closed_connections);
   ln_peers_close_expired_handshakes (peers, now);
-  ln_peers_expire_outbox (peers, now);
+  ln_peers_drop_expired_frames (peers, now);
   ln_peers_request_platform_list (peers, now);
   ln_peers_measure_load (peers, now);
   lc_membership_tick (peers->membership, now, &peers->actions);
@@ -100,7 +100,7 @@
       answer_address_lookup (peers, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_PEER_SEND:
-      ln_peers_send_data (peers, (const LnPeerMessage *)message);
+      ln_peers_send_task_message (peers, (const LnPeerMessage *)message);
       break;
     case LN_DRAINING:
       peers_drain (task);
--- a/packages/node/src/store/ln-unreadable-rows.c
+++ b/packages/node/src/store/ln-unreadable-rows.c
@@ -52,7 +52,7 @@
 }
 
 void
-ln_unreadable_rows_report (LnUnreadableRows *rows, const char *key, const LbError *reason)
+ln_unreadable_rows_log_once (LnUnreadableRows *rows, const char *key, const LbError *reason)
 {
   Row *row = NULL;
 
--- a/packages/node/src/store/ln-unreadable-rows.h
+++ b/packages/node/src/store/ln-unreadable-rows.h
@@ -16,7 +16,7 @@
  * last row. */
 void ln_unreadable_rows_begin_list (LnUnreadableRows *rows);
 /* Logs the malformed row, unless the row was also reported for the previous list. */
-void ln_unreadable_rows_report (LnUnreadableRows *rows, const char *key, const LbError *reason);
+void ln_unreadable_rows_log_once (LnUnreadableRows *rows, const char *key, const LbError *reason);
 /* Forgets rows that were not reported since ln_unreadable_rows_begin_list. */
 void ln_unreadable_rows_end_list (LnUnreadableRows *rows);
 
--- a/packages/node/src/store/ln-unwritten-rows.c
+++ b/packages/node/src/store/ln-unwritten-rows.c
@@ -120,7 +120,7 @@
 }
 
 void
-ln_unwritten_rows_retry (LnUnwrittenRows *rows)
+ln_unwritten_rows_retry_writes (LnUnwrittenRows *rows)
 {
   LB_LIST_FOREACH (&rows->rows, Row, link, row)
   {
--- a/packages/node/src/store/ln-unwritten-rows.h
+++ b/packages/node/src/store/ln-unwritten-rows.h
@@ -15,6 +15,6 @@
 /* Sends a write of the row at once and takes ownership of text; NULL deletes the row. */
 void ln_unwritten_rows_write (LnUnwrittenRows *rows, const char *key, char *text);
 /* Resends the writes that the store did not accept. */
-void ln_unwritten_rows_retry (LnUnwrittenRows *rows);
+void ln_unwritten_rows_retry_writes (LnUnwrittenRows *rows);
 
 #endif
--- a/packages/node/src/task/ln-context.c
+++ b/packages/node/src/task/ln-context.c
@@ -31,7 +31,7 @@
 }
 
 LnTicker *
-ln_context_ticker (LnContext *context)
+ln_context_get_ticker (LnContext *context)
 {
   if (!context->ticker)
     context->ticker = ln_ticker_new (context->base);
--- a/packages/node/src/task/ln-task.c
+++ b/packages/node/src/task/ln-task.c
@@ -120,7 +120,7 @@
 }
 
 void
-ln_hub_drain (LnHub *hub)
+ln_hub_drain_tasks (LnHub *hub)
 {
   LB_LIST_FOREACH (&hub->tasks, LnTask, link, task)
   {
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -254,7 +254,7 @@
 }
 
 void
-ln_engine_plans_update_engine (LnEnginePlans *plans, const LcPlanEntry *entry)
+ln_engine_plans_record_engine_state (LnEnginePlans *plans, const LcPlanEntry *entry)
 {
   const LcPlanEntry *desired = lc_engine_plan_find (&plans->desired, entry->engine);
 
--- a/packages/node/src/weights/ln-engine-plans.h
+++ b/packages/node/src/weights/ln-engine-plans.h
@@ -20,7 +20,7 @@
 void
 ln_engine_plans_add_demand (LnEnginePlans *plans, const char *model, int64_t tokens, LbTime now);
 /* Records the state of an engine; ignored unless this instance writes the plan. */
-void ln_engine_plans_update_engine (LnEnginePlans *plans, const LcPlanEntry *entry);
+void ln_engine_plans_record_engine_state (LnEnginePlans *plans, const LcPlanEntry *entry);
 void
 ln_engine_plans_tick (LnEnginePlans *plans, const LcRoster *roster, bool may_write, LbTime now);
 
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -201,7 +201,7 @@
 }
 
 void
-ln_weight_orders_configure (LnWeightOrders *orders, const LcResourceSet *set)
+ln_weight_orders_configure_engines (LnWeightOrders *orders, const LcResourceSet *set)
 {
   Engine *engine, *next;
 
--- a/packages/node/src/weights/ln-weight-orders.h
+++ b/packages/node/src/weights/ln-weight-orders.h
@@ -16,7 +16,7 @@
                                       void *user);
 void ln_weight_orders_free (LnWeightOrders *orders);
 
-void ln_weight_orders_configure (LnWeightOrders *orders, const LcResourceSet *set);
+void ln_weight_orders_configure_engines (LnWeightOrders *orders, const LcResourceSet *set);
 /* Records the weight versions in the store's list of endpoints, which was requested at
  * requested_at. */
 void ln_weight_orders_apply_endpoint_list (LnWeightOrders *orders,
--- a/packages/node/tests/test-calls.c
+++ b/packages/node/tests/test-calls.c
@@ -466,7 +466,7 @@
   endpoint_send_token (&engine, id, 0, " one", false);
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, " one"));
   post_members_of_four_instances (&s);
-  ln_hub_drain (s.f.context.hub);
+  ln_hub_drain_tasks (s.f.context.hub);
   caller_connect (&s.f, &late);
   caller_send_post (&late, "/v1/completions", "", COMPLETION_BODY (""));
   FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&late, "draining"));
--- a/packages/node/tests/test-fleet-directory.c
+++ b/packages/node/tests/test-fleet-directory.c
@@ -119,7 +119,7 @@
   size_t n = 0;
 
   for (size_t i = 0; i < ln_fleet_lists_count_members (lists); i++)
-    n += ln_fleet_lists_member_at (lists, i)->row.strength == lc_duty_machine_strength (0.5, 600);
+    n += ln_fleet_lists_get_member (lists, i)->row.strength == lc_duty_machine_strength (0.5, 600);
   return n;
 }
 
--- a/packages/node/tests/test-fleet-lists.c
+++ b/packages/node/tests/test-fleet-lists.c
@@ -102,8 +102,8 @@
 find_member (const LnFleetLists *lists, const char *name)
 {
   for (size_t i = 0; i < ln_fleet_lists_count_members (lists); i++)
-    if (strcmp (ln_fleet_lists_member_at (lists, i)->row.name, name) == 0)
-      return ln_fleet_lists_member_at (lists, i);
+    if (strcmp (ln_fleet_lists_get_member (lists, i)->row.name, name) == 0)
+      return ln_fleet_lists_get_member (lists, i);
   return NULL;
 }
 
--- a/packages/node/tests/test-leaving.c
+++ b/packages/node/tests/test-leaving.c
@@ -70,7 +70,7 @@
 static void
 announce_endpoint (Fixture *f)
 {
-  ln_leaving_announce (f->leaving, &f->endpoint);
+  ln_leaving_announce_endpoint (f->leaving, &f->endpoint);
   event_base_loop (f->base, EVLOOP_NONBLOCK);
 }
 
--- a/packages/node/tests/test-peers.c
+++ b/packages/node/tests/test-peers.c
@@ -226,7 +226,7 @@
   for (size_t i = 0; i < MAX_INSTANCES; i++)
     cr_assert_eq (world.instances[i].listener->n_frames, i == 5 ? 0 : i == 3 ? 2 : 1);
 
-  ln_hub_drain (first->context.hub);
+  ln_hub_drain_tasks (first->context.hub);
   for (size_t i = 1; i < MAX_INSTANCES; i++)
     WAIT_UNTIL (&world, sees_member_draining (&world.instances[i], "i1"));
   world_clear (&world);
--- a/packages/node/tests/test-steps.c
+++ b/packages/node/tests/test-steps.c
@@ -263,7 +263,7 @@
     cluster_run_event_loop_once (cluster);
   first->draining = true;
   cluster_send_members (cluster);
-  ln_hub_drain (first->context.hub);
+  ln_hub_drain_tasks (first->context.hub);
   cluster_send_pull (cluster, 0, 4, 5000);
   /* Waits for several drain ticks, which must not release the step while samples are generated. */
   LbTime until = lb_clock_monotonic () + 300 * LB_MSEC;
@@ -288,7 +288,7 @@
 
   cluster->instances[0].draining = true;
   cluster_send_members (cluster);
-  ln_hub_drain (cluster->instances[0].context.hub);
+  ln_hub_drain_tasks (cluster->instances[0].context.hub);
   cluster_open_step (cluster, 0);
   cr_assert_eq (cluster->status, 202, "expected status 202, got the reply: %s", cluster->reply);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 4), 4);
--- a/packages/sim/src/lx-callers.c
+++ b/packages/sim/src/lx-callers.c
@@ -107,7 +107,7 @@
     }
   if (answer->error == LB_OK)
     record_answer (callers, call);
-  else if (lb_error_proves_not_run (answer->error))
+  else if (lb_error_proves_request_not_run (answer->error))
     callers->refused++;
   else
     callers->failed++;
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -509,7 +509,7 @@
   LxWorld *world = instance->world;
   LxJob *job = lx_audit_get_job (&world->audit, job_number);
 
-  if (!lb_error_proves_not_run (error))
+  if (!lb_error_proves_request_not_run (error))
     return;
   job->reported_not_run = true;
   if (job->n_starts > 0)
--- a/packages/sim/src/lx-replay.c
+++ b/packages/sim/src/lx-replay.c
@@ -209,10 +209,10 @@
   if (line->expect == LX_EXPECT_WHOLE)
     return call->result.error == LB_OK ? NULL : lb_error_name (call->result.error);
   if (line->expect == LX_EXPECT_UNKNOWN)
-    return call->result.error != LB_OK && !lb_error_proves_not_run (call->result.error)
+    return call->result.error != LB_OK && !lb_error_proves_request_not_run (call->result.error)
                ? NULL
                : lb_error_name (call->result.error);
-  if (!lb_error_proves_not_run (call->result.error))
+  if (!lb_error_proves_request_not_run (call->result.error))
     return lb_error_name (call->result.error);
   return job->n_starts == 0 ? NULL : "an endpoint had started the call";
 }
