--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -11,8 +11,8 @@
 
 #define RESOURCES_PATH "/v1/resources"
 #define WATCH_PATH "/v1/resources/watch"
-#define MAX_WATCH_WAIT (60 * LB_SEC)
-#define WATCH_QUERY_PERIOD (200 * LB_MSEC)
+#define MAX_WATCH_REQUEST_DURATION (60 * LB_SEC)
+#define OUTDATED_INSTANCES_QUERY_PERIOD (200 * LB_MSEC)
 #define DEFAULT_HISTORY_ROWS 20
 #define MAX_HISTORY_ROWS 1000
 
@@ -20,14 +20,14 @@
 {
   LbLink link;
   LnExchange *exchange;
-  int64_t after_revision;   /* a revision above this one ends the watch */
+  int64_t after_revision;   /* the watch ends when the active revision is above this one */
   size_t n_active_at_start; /* number of instances on the active revision when the watch began */
   size_t n_known_at_start;  /* number of known instances when the watch began */
   LbTime deadline;          /* when to reply even if nothing has changed */
   LbTime next_query_at;     /* when to query the instances with an older revision again */
 } LnConfigWatch;
 
-/* Operator's request that is answered when a read of the store completes. */
+/* An operator's request whose reply is sent when a read of the store completes. */
 typedef struct
 {
   LnConfigTask *task;
@@ -71,7 +71,7 @@
 }
 
 static void
-reply_error (LnExchange *exchange, LbErrorCode code, const char *where, const char *detail)
+reply_with_error (LnExchange *exchange, LbErrorCode code, const char *where, const char *detail)
 {
   LbError error;
 
@@ -153,8 +153,8 @@
 
   if (!parse_resource_filter (ln_exchange_path (exchange), &filter))
     {
-      reply_error (exchange, LB_ERROR_UNKNOWN_RESOURCE, ln_exchange_path (exchange),
-                   "expected a resource kind: pool, subscription, version_bound or endpoint");
+      reply_with_error (exchange, LB_ERROR_UNKNOWN_RESOURCE, ln_exchange_path (exchange),
+                        "expected a resource kind: pool, subscription, version_bound or endpoint");
       return;
     }
   struct json_object *object = filtered_set_to_json (lc_config_active_set (task->config), &filter);
@@ -162,8 +162,8 @@
       && json_object_array_length (json_object_object_get (object, "resources")) == 0)
     {
       json_object_put (object);
-      reply_error (exchange, LB_ERROR_UNKNOWN_RESOURCE, ln_exchange_path (exchange),
-                   "the accepted configuration has no such resource");
+      reply_with_error (exchange, LB_ERROR_UNKNOWN_RESOURCE, ln_exchange_path (exchange),
+                        "the accepted configuration has no such resource");
       return;
     }
   LbTime confirmed = lc_config_confirmation_age (task->config, lb_clock_monotonic ());
@@ -208,14 +208,15 @@
 {
   int64_t revision;
   struct json_object *names; /* names of the instances with an older revision */
-} OutdatedSearch;
+} OutdatedInstances;
 
 static void
-add_name_if_outdated (const char *instance, int64_t revision, bool alive, bool draining, void *user)
+add_instance_name_if_outdated (
+    const char *instance, int64_t revision, bool alive, bool draining, void *user)
 {
   (void)alive;
   (void)draining;
-  OutdatedSearch *search = user;
+  OutdatedInstances *search = user;
 
   if (revision < search->revision)
     json_object_array_add (search->names, json_object_new_string (instance));
@@ -227,10 +228,10 @@
 ln_config_activation_to_json (const LnConfigTask *task, int64_t revision)
 {
   struct json_object *object = json_object_new_object ();
-  OutdatedSearch search = { .revision = revision, .names = json_object_new_array () };
+  OutdatedInstances search = { .revision = revision, .names = json_object_new_array () };
   LcActiveCount count = lc_config_count_instances_at_revision (task->config, revision);
 
-  lc_config_visit_instances (task->config, add_name_if_outdated, &search);
+  lc_config_visit_instances (task->config, add_instance_name_if_outdated, &search);
   json_object_object_add (object, "on", json_object_new_int64 ((int64_t)count.active));
   json_object_object_add (object, "of", json_object_new_int64 ((int64_t)count.known));
   json_object_object_add (object, "behind", search.names);
@@ -238,7 +239,7 @@
 }
 
 static void
-finish_watch (LnConfigTask *task, LnConfigWatch *watch)
+answer_watch (LnConfigTask *task, LnConfigWatch *watch)
 {
   int64_t revision = lc_config_active_revision (task->config);
   char key[32];
@@ -255,7 +256,7 @@
 }
 
 static bool
-has_activation_changed (const LnConfigTask *task, const LnConfigWatch *watch)
+has_activation_changed_since_watch_start (const LnConfigTask *task, const LnConfigWatch *watch)
 {
   int64_t revision = lc_config_active_revision (task->config);
   LcActiveCount count = lc_config_count_instances_at_revision (task->config, revision);
@@ -277,14 +278,16 @@
   watch->after_revision = get_query_integer (exchange, "after", 0);
   watch->n_active_at_start = count.active;
   watch->n_known_at_start = count.known;
-  watch->deadline = now + (wait_ms * LB_MSEC < MAX_WATCH_WAIT ? wait_ms * LB_MSEC : MAX_WATCH_WAIT);
+  watch->deadline = now
+                    + (wait_ms * LB_MSEC < MAX_WATCH_REQUEST_DURATION ? wait_ms * LB_MSEC
+                                                                      : MAX_WATCH_REQUEST_DURATION);
   lb_list_append (&task->watches, &watch->link);
 }
 
 /* Answers watches that have ended. While any watch waits, queries the instances with an older
  * revision: an instance reports a new revision only to the instance that sent the revision. */
 static void
-tick_watches (LnConfigTask *task, LbTime now)
+answer_ended_watches (LnConfigTask *task, LbTime now)
 {
   LbList actions;
   bool query_outdated = false;
@@ -292,11 +295,12 @@
   lb_list_init (&actions);
   LB_LIST_FOREACH (&task->watches, LnConfigWatch, link, watch)
   {
-    if (now >= watch->deadline || task->draining || has_activation_changed (task, watch))
-      finish_watch (task, watch);
+    if (now >= watch->deadline || task->draining
+        || has_activation_changed_since_watch_start (task, watch))
+      answer_watch (task, watch);
     else if (now >= watch->next_query_at)
       {
-        watch->next_query_at = now + WATCH_QUERY_PERIOD;
+        watch->next_query_at = now + OUTDATED_INSTANCES_QUERY_PERIOD;
         query_outdated = true;
       }
   }
@@ -308,15 +312,15 @@
 /* --- GET /v1/history --- */
 
 static void
-on_history_read (LbErrorCode error, struct json_object *rows, void *user)
+on_history_rows_read (LbErrorCode error, struct json_object *rows, void *user)
 {
   PendingReply *pending = user;
 
   if (error != LB_OK)
     {
       json_object_put (rows);
-      reply_error (pending->exchange, error, "/v1/history",
-                   "the history could not be read from the platform's table");
+      reply_with_error (pending->exchange, error, "/v1/history",
+                        "the history could not be read from the platform's table");
     }
   else
     {
@@ -334,13 +338,14 @@
 
   ln_config_store_read_history (task->store, lc_config_active_revision (task->config),
                                 (size_t)(limit < MAX_HISTORY_ROWS ? limit : MAX_HISTORY_ROWS),
-                                on_history_read, pending_reply_new (task, exchange));
+                                on_history_rows_read, pending_reply_new (task, exchange));
 }
 
 /* --- GET /v1/status --- */
 
 static void
-add_instance_to_json (const char *instance, int64_t revision, bool alive, bool draining, void *user)
+add_instance_state_to_json (
+    const char *instance, int64_t revision, bool alive, bool draining, void *user)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -352,13 +357,13 @@
 }
 
 static void
-reply_status (LnConfigTask *task, LnExchange *exchange)
+reply_with_activation_status (LnConfigTask *task, LnExchange *exchange)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *instances = json_object_new_array ();
   LbTime age = lc_config_confirmation_age (task->config, lb_clock_monotonic ());
 
-  lc_config_visit_instances (task->config, add_instance_to_json, instances);
+  lc_config_visit_instances (task->config, add_instance_state_to_json, instances);
   json_object_object_add (object, "instance", json_object_new_string (task->context->instance));
   json_object_object_add (object, "revision",
                           json_object_new_int64 (lc_config_active_revision (task->config)));
@@ -384,7 +389,7 @@
 }
 
 static void
-route_request (LnConfigTask *task, LnExchange *exchange)
+route_operator_request (LnConfigTask *task, LnExchange *exchange)
 {
   const char *path = ln_exchange_path (exchange);
   bool is_get = strcmp (ln_exchange_method (exchange), "GET") == 0;
@@ -400,10 +405,10 @@
   else if (is_get && is_path_under (path, "/v1/history"))
     handle_history_request (task, exchange);
   else if (is_get && is_path_under (path, "/v1/status"))
-    reply_status (task, exchange);
+    reply_with_activation_status (task, exchange);
   else
-    reply_error (exchange, LB_ERROR_UNKNOWN_PATH, path,
-                 "the operators' API has no such path and method");
+    reply_with_error (exchange, LB_ERROR_UNKNOWN_PATH, path,
+                      "the operators' API has no such path and method");
 }
 
 void
@@ -413,15 +418,15 @@
   if (!has_operator_token (task, exchange))
     {
       lb_metric_add (&metric_unauthorized, 1);
-      reply_error (exchange, LB_ERROR_UNAUTHORIZED, ln_exchange_path (exchange),
-                   "expected the header authorization: Bearer TOKEN with the operator token");
+      reply_with_error (exchange, LB_ERROR_UNAUTHORIZED, ln_exchange_path (exchange),
+                        "expected the header authorization: Bearer TOKEN with the operator token");
       return;
     }
-  route_request (task, exchange);
+  route_operator_request (task, exchange);
 }
 
-/* Requests that wait only for a read of the store need no cleanup: the reply is discarded when the
- * read completes. */
+/* Ends the watch, or drops the change, of an operator that disconnected. Requests that wait only
+ * for a read of the store need no cleanup: their reply is discarded when the read completes. */
 void
 ln_config_api_on_caller_disconnected (LnConfigTask *task, LnExchange *exchange)
 {
@@ -438,9 +443,9 @@
 }
 
 void
-ln_config_api_answer_ended_watches (LnConfigTask *task, LbTime now)
+ln_config_api_tick_watches_and_changes (LnConfigTask *task, LbTime now)
 {
-  tick_watches (task, now);
+  answer_ended_watches (task, now);
   ln_config_change_commit_on_majority (task, now);
 }
 
@@ -453,7 +458,7 @@
 void
 ln_config_api_finish_watches (LnConfigTask *task)
 {
-  tick_watches (task, lb_clock_monotonic ());
+  answer_ended_watches (task, lb_clock_monotonic ());
 }
 
 void
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -51,7 +51,7 @@
                                                    "outcome=\"not_accepted\"",
                                                    "Changes by operators");
 
-static void start_first_change (LnConfigTask *task);
+static void start_next_waiting_change (LnConfigTask *task);
 
 static void
 change_free (LnChange *change)
@@ -62,13 +62,13 @@
 }
 
 static void
-remove_change (LnChange *change)
+remove_change_and_start_next (LnChange *change)
 {
   LnConfigTask *task = change->task;
 
   lb_list_remove (&task->changes, &change->link);
   change_free (change);
-  start_first_change (task);
+  start_next_waiting_change (task);
 }
 
 static void
@@ -84,7 +84,7 @@
       ln_config_set_etag (change->exchange, lc_config_active_revision (change->task->config));
       ln_exchange_reply_error (change->exchange, error, retry_after);
     }
-  remove_change (change);
+  remove_change_and_start_next (change);
 }
 
 static void
@@ -100,7 +100,7 @@
 }
 
 static void
-reply_accepted (LnChange *change, int64_t revision, bool is_dry_run)
+reply_change_accepted (LnChange *change, int64_t revision, bool is_dry_run)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -116,7 +116,7 @@
     }
   else
     json_object_put (object);
-  remove_change (change);
+  remove_change_and_start_next (change);
 }
 
 static char *
@@ -138,7 +138,7 @@
 static void announce_abandoned_change (LnChange *change);
 
 static void
-on_commit_finished (LbErrorCode error, LbTime started_at, void *user)
+on_change_commit_finished (LbErrorCode error, LbTime started_at, void *user)
 {
   LnChange *change = user;
   LnConfigTask *task = change->task;
@@ -171,7 +171,7 @@
                               lb_clock_monotonic (), &actions);
   change->new_set = NULL;
   ln_config_execute_actions (task, &actions);
-  reply_accepted (change, revision, false);
+  reply_change_accepted (change, revision, false);
 }
 
 static void
@@ -199,19 +199,19 @@
   if (!change->new_set)
     reject_change (change, &error, 0);
   else if (change->is_dry_run)
-    reply_accepted (change, change->new_set->revision, true);
+    reply_change_accepted (change, change->new_set->revision, true);
   else
     announce_change (change);
 }
 
 static void
-commit_change (LnChange *change)
+commit_new_set (LnChange *change)
 {
   char *history = history_row_to_text (change);
 
   change->state = CHANGE_COMMITTING;
   ln_config_store_commit_set (change->task->store, change->new_set, change->head_version,
-                              change->token, history, on_commit_finished, change);
+                              change->token, history, on_change_commit_finished, change);
   free (history);
 }
 
@@ -241,7 +241,7 @@
 
   json_object_put (rows);
   if (is_committed)
-    reply_accepted (change, change->expected_revision + 1, false);
+    reply_change_accepted (change, change->expected_revision + 1, false);
   else
     reject_change_with_code (change, LB_ERROR_CONFLICT,
                              "the configuration has changed since the revision in If-Match", 0);
@@ -293,7 +293,7 @@
 }
 
 static void
-start_first_change (LnConfigTask *task)
+start_next_waiting_change (LnConfigTask *task)
 {
   LnChange *change = LB_LIST_FIRST (&task->changes, LnChange, link);
 
@@ -324,7 +324,7 @@
 }
 
 static void
-read_token_and_submitter (LnChange *change)
+set_token_and_submitter (LnChange *change)
 {
   const char *key = ln_exchange_header (change->exchange, "idempotency-key");
   const char *operator_name = ln_exchange_header (change->exchange, "x-operator");
@@ -357,7 +357,8 @@
   return true;
 }
 
-/* Takes ownership of the exchange. Changes are processed one at a time, in order of arrival. */
+/* Queues the change in the request, and takes ownership of the exchange. Changes are processed one
+ * at a time, in order of arrival. */
 void
 ln_config_change_submit (LnConfigTask *task, LnExchange *exchange)
 {
@@ -367,15 +368,15 @@
   change->task = task;
   change->exchange = exchange;
   lb_list_append (&task->changes, &change->link);
-  read_token_and_submitter (change);
+  set_token_and_submitter (change);
   if (!parse_change_request (change, &error))
     reject_change (change, &error, error.code == LB_ERROR_OVERLOADED ? LB_SEC : 0);
   else
-    start_first_change (task);
+    start_next_waiting_change (task);
 }
 
-/* Drops the exchange's change if it is still queued. A change in progress is completed without a
- * reply. Returns false if no change belongs to the exchange. */
+/* Drops the change that the operator submitted in this exchange if it is still queued. A change in
+ * progress is completed without a reply. Returns false if the exchange submitted no change. */
 bool
 ln_config_change_on_caller_disconnected (LnConfigTask *task, LnExchange *exchange)
 {
@@ -386,7 +387,7 @@
     ln_exchange_end (exchange);
     change->exchange = NULL;
     if (change->state == CHANGE_WAITING)
-      remove_change (change);
+      remove_change_and_start_next (change);
     return true;
   }
   return false;
@@ -403,7 +404,7 @@
   if (!change || change->state != CHANGE_AWAITING_MAJORITY)
     return;
   if (lc_config_has_majority (task->config, change->announced_at))
-    commit_change (change);
+    commit_new_set (change);
   else if (now - change->announced_at > MAJORITY_TIMEOUT)
     {
       announce_abandoned_change (change);
--- a/packages/node/src/config/ln-config-store.c
+++ b/packages/node/src/config/ln-config-store.c
@@ -13,23 +13,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define HEAD_KEY "config/head"
-#define MAX_KEY_SIZE 64
-#define N_KEPT_SETS 8
+#define HEAD_ROW_KEY "config/head"
+#define MAX_ROW_KEY_BYTES 64
+#define N_STORED_RESOURCE_SETS 8
 #define MAX_HEAD_READ_ATTEMPTS 4
 /* Number of history rows that one scan reads: their keys differ only in the last two digits. */
 #define HISTORY_ROWS_PER_BLOCK 100
 #define COMMIT_TIMEOUT (5 * LB_SEC)
-#define FIRST_RETRY_DELAY (50 * LB_MSEC)
-#define MAX_RETRY_DELAY LB_SEC
+#define FIRST_COMMIT_RETRY_DELAY (50 * LB_MSEC)
+#define MAX_COMMIT_RETRY_DELAY LB_SEC
 
 struct LnConfigStore
 {
   struct event_base *base;
   LpPlatform *platform;
-  LbList reads;     /* HeadRead: reads of the accepted set in progress */
-  LbList commits;   /* Commit: commits in progress */
-  LbList histories; /* HistoryRead: history reads in progress */
+  LbList reads;     /* list of HeadRead: reads of the accepted set in progress */
+  LbList commits;   /* list of Commit: commits in progress */
+  LbList histories; /* list of HistoryRead: history reads in progress */
 };
 
 typedef struct
@@ -74,7 +74,7 @@
   void *user;
 } HistoryRead;
 
-static void send_transaction (Commit *commit);
+static void send_commit_transaction (Commit *commit);
 
 static void
 commit_free (Commit *commit)
@@ -124,7 +124,7 @@
 }
 
 static void
-get_row (LnConfigStore *store, const char *key, LpRowsDone done, void *user)
+request_row (LnConfigStore *store, const char *key, LpRowsDone done, void *user)
 {
   store->platform->klass->get (store->platform, key, done, user);
 }
@@ -160,7 +160,8 @@
   HeadRead *read = user;
   LbError parse_error = { .code = LB_OK };
 
-  /* Newer commits removed the set's row after the head row was read: starts over. */
+  /* Newer commits removed the row of this revision's set after the head row was read: reads the
+   * head row again. */
   if (error == LB_ERROR_NOT_FOUND && read->attempts < MAX_HEAD_READ_ATTEMPTS)
     {
       read_head_row (read);
@@ -184,7 +185,7 @@
 on_head_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   HeadRead *read = user;
-  char key[MAX_KEY_SIZE];
+  char key[MAX_ROW_KEY_BYTES];
 
   if (error == LB_ERROR_NOT_FOUND)
     {
@@ -205,7 +206,7 @@
       return;
     }
   snprintf (key, sizeof key, "config/set/%020lld", (long long)read->result.revision);
-  get_row (read->store, key, on_set_row_read, read);
+  request_row (read->store, key, on_set_row_read, read);
 }
 
 static void
@@ -213,7 +214,7 @@
 {
   read->attempts++;
   read->result.requested_at = lb_clock_monotonic ();
-  get_row (read->store, HEAD_KEY, on_head_row_read, read);
+  request_row (read->store, HEAD_ROW_KEY, on_head_row_read, read);
 }
 
 void
@@ -241,7 +242,7 @@
 }
 
 static bool
-is_own_history_row (const Commit *commit, const char *text)
+has_history_row_token_of_commit (const Commit *commit, const char *text)
 {
   struct json_object *object = json_tokener_parse (text);
   const char *token = lb_json_text (object, "token", NULL);
@@ -252,7 +253,7 @@
 }
 
 static void
-schedule_retry_or_time_out (Commit *commit)
+schedule_commit_retry_or_time_out (Commit *commit)
 {
   const struct timeval timeout = lb_time_to_timeval (commit->retry_delay);
 
@@ -261,8 +262,8 @@
       finish_commit (commit, commit->may_be_applied ? LB_ERROR_STORE_UNKNOWN : commit->last_error);
       return;
     }
-  commit->retry_delay
-      = commit->retry_delay * 2 < MAX_RETRY_DELAY ? commit->retry_delay * 2 : MAX_RETRY_DELAY;
+  commit->retry_delay = commit->retry_delay * 2 < MAX_COMMIT_RETRY_DELAY ? commit->retry_delay * 2
+                                                                         : MAX_COMMIT_RETRY_DELAY;
   event_add (commit->retry_timer, &timeout);
 }
 
@@ -275,23 +276,25 @@
   Commit *commit = user;
 
   if (error == LB_OK && n_rows == 1)
-    finish_commit (commit, is_own_history_row (commit, rows[0].value) ? LB_OK : LB_ERROR_CONFLICT);
+    finish_commit (commit, has_history_row_token_of_commit (commit, rows[0].value)
+                               ? LB_OK
+                               : LB_ERROR_CONFLICT);
   else if (error == LB_ERROR_NOT_FOUND && commit->last_error == LB_ERROR_CONDITION_FAILED)
     finish_commit (commit, LB_ERROR_CONFLICT);
   else
     {
       commit->retry_reads_history = error != LB_ERROR_NOT_FOUND;
-      schedule_retry_or_time_out (commit);
+      schedule_commit_retry_or_time_out (commit);
     }
 }
 
 static void
 read_history_row (Commit *commit)
 {
-  char key[MAX_KEY_SIZE];
+  char key[MAX_ROW_KEY_BYTES];
 
   snprintf (key, sizeof key, "config/history/%020lld", (long long)commit->revision);
-  get_row (commit->store, key, on_history_row_read, commit);
+  request_row (commit->store, key, on_history_row_read, commit);
 }
 
 static void
@@ -304,11 +307,11 @@
   if (commit->retry_reads_history)
     read_history_row (commit);
   else
-    send_transaction (commit);
+    send_commit_transaction (commit);
 }
 
 static void
-on_transaction_done (LbErrorCode error, const LpRow *row, void *user)
+on_commit_transaction_done (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   Commit *commit = user;
@@ -320,21 +323,23 @@
   else if (error == LB_ERROR_CONDITION_FAILED || error == LB_ERROR_STORE_UNKNOWN)
     read_history_row (commit);
   else
-    schedule_retry_or_time_out (commit);
+    schedule_commit_retry_or_time_out (commit);
 }
 
 static void
-send_transaction (Commit *commit)
+send_commit_transaction (Commit *commit)
 {
-  char set_key[MAX_KEY_SIZE], history_key[MAX_KEY_SIZE], pruned_set_key[MAX_KEY_SIZE];
+  char set_key[MAX_ROW_KEY_BYTES], history_key[MAX_ROW_KEY_BYTES],
+      pruned_set_key[MAX_ROW_KEY_BYTES];
   long long revision = commit->revision;
 
   snprintf (set_key, sizeof set_key, "config/set/%020lld", revision);
   snprintf (history_key, sizeof history_key, "config/history/%020lld", revision);
-  snprintf (pruned_set_key, sizeof pruned_set_key, "config/set/%020lld", revision - N_KEPT_SETS);
-  const LpCondition condition = { .key = HEAD_KEY, .version = commit->head_version };
+  snprintf (pruned_set_key, sizeof pruned_set_key, "config/set/%020lld",
+            revision - N_STORED_RESOURCE_SETS);
+  const LpCondition condition = { .key = HEAD_ROW_KEY, .version = commit->head_version };
   const LpPut puts[] = {
-    { .key = HEAD_KEY, .value = commit->head_text },
+    { .key = HEAD_ROW_KEY, .value = commit->head_text },
     { .key = set_key, .value = commit->set_text },
     { .key = history_key, .value = commit->history_text },
     { .key = pruned_set_key, .value = NULL },
@@ -344,10 +349,10 @@
     .conditions = &condition,
     .n_conditions = 1,
     .puts = puts,
-    .n_puts = sizeof puts / sizeof puts[0] - (revision <= N_KEPT_SETS),
+    .n_puts = sizeof puts / sizeof puts[0] - (revision <= N_STORED_RESOURCE_SETS),
   };
   commit->store->platform->klass->transact (commit->store->platform, &transaction,
-                                            LP_PRIORITY_CONFIG, on_transaction_done, commit);
+                                            LP_PRIORITY_CONFIG, on_commit_transaction_done, commit);
 }
 
 void
@@ -371,11 +376,11 @@
   commit->history_text = lb_strdup (history);
   commit->retry_timer = event_new (store->base, -1, 0, on_commit_retry_timer, commit);
   commit->started_at = lb_clock_monotonic ();
-  commit->retry_delay = FIRST_RETRY_DELAY;
+  commit->retry_delay = FIRST_COMMIT_RETRY_DELAY;
   commit->done = done;
   commit->user = user;
   lb_list_append (&store->commits, &commit->link);
-  send_transaction (commit);
+  send_commit_transaction (commit);
 }
 
 static void read_history_block (HistoryRead *history);
@@ -414,7 +419,7 @@
 static void
 read_history_block (HistoryRead *history)
 {
-  char prefix[MAX_KEY_SIZE];
+  char prefix[MAX_ROW_KEY_BYTES];
 
   snprintf (prefix, sizeof prefix, "config/history/%018lld",
             (long long)(history->block_start / HISTORY_ROWS_PER_BLOCK));
--- a/packages/node/src/config/ln-config-task.h
+++ b/packages/node/src/config/ln-config-task.h
@@ -20,10 +20,10 @@
   bool is_polling_head;      /* a read of the head row for LcConfig is in progress */
   bool is_listing_instances; /* a read of the platform's list of instances is in progress */
   LbTime next_listing_at;    /* earliest time of the next read of the instance list */
-  LbList changes;            /* LnChange, submitted by operators; only the first is in progress */
-  LbList watches;            /* LnConfigWatch: requests that wait for a change */
-  LbList pool_controllers;   /* LnPoolController, one per pool with engines */
-  LbList pool_operations;    /* LnPoolOperation in progress */
+  LbList changes; /* list of LnChange, submitted by operators; only the first is in progress */
+  LbList watches; /* list of LnConfigWatch: operators' requests that wait for a change */
+  LbList pool_controllers;         /* list of LnPoolController, one per pool with engines */
+  LbList pool_operations;          /* list of LnPoolOperation in progress */
   uint64_t last_controller_serial; /* serial of the last pool controller created */
   /* JSON array of engines' weight changes, sent to all instances at the next tick; NULL: none. */
   struct json_object *unsent_swaps;
@@ -40,7 +40,7 @@
 /* ln-config-api.c: handles HTTP requests of operators. */
 void ln_config_api_handle_request (LnConfigTask *task, LnExchange *exchange);
 void ln_config_api_on_caller_disconnected (LnConfigTask *task, LnExchange *exchange);
-void ln_config_api_answer_ended_watches (LnConfigTask *task, LbTime now);
+void ln_config_api_tick_watches_and_changes (LnConfigTask *task, LbTime now);
 bool ln_config_api_is_idle (const LnConfigTask *task);
 void ln_config_api_finish_watches (LnConfigTask *task);
 void ln_config_api_free_requests (LnConfigTask *task);
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -13,11 +13,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK_PERIOD (50 * LB_MSEC)
-#define MAX_CONFIRMATION_AGE (8 * LB_SEC)
+#define CONFIG_TICK_PERIOD (50 * LB_MSEC)
+#define MAX_CONFIG_CONFIRMATION_AGE (8 * LB_SEC)
 #define MIN_HEAD_POLL_PERIOD LB_SEC
 #define INSTANCE_LISTING_PERIOD (10 * LB_SEC)
-#define PEER_TOPIC "config"
+#define PEER_MESSAGE_TOPIC "config"
 
 static LnConfigTask *
 config_task_from_base (LnTask *task)
@@ -41,7 +41,7 @@
 ln_config_send_peer_message (LnConfigTask *task, const char *instance, struct json_object *object)
 {
   LnTask *peers = ln_hub_find_task (task->task.hub, "peers");
-  LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = PEER_TOPIC };
+  LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = PEER_MESSAGE_TOPIC };
 
   if (peers)
     {
@@ -88,7 +88,7 @@
 }
 
 static void
-post_readiness (LnConfigTask *task, bool ready)
+post_config_readiness (LnConfigTask *task, bool ready)
 {
   LnReadyMessage message = { .base = LN_MESSAGE (LN_READY), .ready = ready };
 
@@ -119,7 +119,7 @@
       post_activated_set (task, action->set);
       break;
     case LC_CONFIG_READINESS_CHANGED:
-      post_readiness (task, action->ready);
+      post_config_readiness (task, action->ready);
       break;
     }
 }
@@ -149,16 +149,16 @@
 typedef struct
 {
   const LpInstanceList *list;
-  LbName removed; /* an instance missing from the list; "": none is missing */
-} RemovedSearch;
+  LbName removed; /* an unreachable instance that the list does not contain; "": none */
+} UnlistedSearch;
 
 static void
-find_removed_instance (
+find_unlisted_instance (
     const char *instance, int64_t revision, bool alive, bool draining, void *user)
 {
   (void)revision;
   (void)draining;
-  RemovedSearch *search = user;
+  UnlistedSearch *search = user;
 
   if (!alive && !contains_instance (search->list, instance))
     LB_COPY (search->removed, instance);
@@ -176,8 +176,8 @@
     return;
   for (;;)
     {
-      RemovedSearch search = { .list = list };
-      lc_config_visit_instances (task->config, find_removed_instance, &search);
+      UnlistedSearch search = { .list = list };
+      lc_config_visit_instances (task->config, find_unlisted_instance, &search);
       if (!search.removed[0])
         return;
       lb_log (LB_LOG_INFO, "config_instance_gone", LB_TEXT ("gone", search.removed));
@@ -186,7 +186,7 @@
 }
 
 static void
-list_instances_if_due (LnConfigTask *task, LbTime now)
+request_instance_list_if_due (LnConfigTask *task, LbTime now)
 {
   LpPlatform *platform = task->context->platform;
 
@@ -210,13 +210,13 @@
   lb_list_init (&actions);
   lc_config_tick (task->config, now, &actions);
   ln_config_execute_actions (task, &actions);
-  list_instances_if_due (task, now);
+  request_instance_list_if_due (task, now);
   ln_pool_controllers_tick (task, now);
-  ln_config_api_answer_ended_watches (task, now);
+  ln_config_api_tick_watches_and_changes (task, now);
 }
 
 static void
-update_members (LnConfigTask *task, const LnMembersMessage *message)
+apply_members_message (LnConfigTask *task, const LnMembersMessage *message)
 {
   LcConfigMember *members = LB_NEW_ARRAY (LcConfigMember, message->n_members);
   LbList actions;
@@ -235,7 +235,7 @@
 }
 
 static void
-handle_peer_frame (LnConfigTask *task, const LnPeerMessage *frame)
+receive_peer_frame (LnConfigTask *task, const LnPeerMessage *frame)
 {
   LcConfigMessage message = { 0 };
   LbError error = { .code = LB_OK };
@@ -275,10 +275,10 @@
       ln_config_api_on_caller_disconnected (task, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_MEMBERS:
-      update_members (task, (const LnMembersMessage *)message);
+      apply_members_message (task, (const LnMembersMessage *)message);
       break;
     case LN_PEER_FRAME:
-      handle_peer_frame (task, (const LnPeerMessage *)message);
+      receive_peer_frame (task, (const LnPeerMessage *)message);
       break;
     default:
       break;
@@ -327,10 +327,10 @@
 ln_config_task_new (LnContext *context)
 {
   LnConfigTask *task = LB_NEW (LnConfigTask);
-  LcConfigSettings settings = { .max_confirmation_age = MAX_CONFIRMATION_AGE,
+  LcConfigSettings settings = { .max_confirmation_age = MAX_CONFIG_CONFIRMATION_AGE,
                                 .min_poll_period = MIN_HEAD_POLL_PERIOD,
                                 .seed = context->settings->seed ^ (uint64_t)lb_clock_monotonic () };
-  const struct timeval tick = { .tv_usec = TICK_PERIOD };
+  const struct timeval tick = { .tv_usec = CONFIG_TICK_PERIOD };
 
   LB_COPY (settings.instance, context->instance);
   task->task.klass = &config_class;
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -18,7 +18,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK_PERIOD (50 * LB_MSEC)
+#define DESIRED_TICK_PERIOD (50 * LB_MSEC)
 /* Timeout of one watch call. A change must take effect within 2 s even if the watch's connection is
  * lost silently. The loss is detected after this timeout plus the store client's margin, and the
  * next watch returns the change. */
@@ -75,7 +75,7 @@
 }
 
 static void
-post_ready_when_loaded (DesiredTask *task)
+post_ready_if_state_is_loaded (DesiredTask *task)
 {
   LnReadyMessage message = { .base = LN_MESSAGE (LN_READY), .ready = true };
 
@@ -118,7 +118,7 @@
   message.desired = lc_desired_ref (desired);
   message.base.clear = clear_desired_message;
   LN_POST (task->task.hub, NULL, message);
-  post_ready_when_loaded (task);
+  post_ready_if_state_is_loaded (task);
 }
 
 static void
@@ -191,7 +191,7 @@
     LN_POST (task->task.hub, calls, message);
 }
 
-static void post_listed_endpoints (DesiredTask *task);
+static void post_weight_version_of_each_endpoint (DesiredTask *task);
 
 static void
 on_engine_plan_changed (const LcEnginePlan *plan, void *user)
@@ -205,11 +205,11 @@
     }
   for (size_t i = 0; i < plan->n_entries; i++)
     notify_calls_task_of_swap (task, &plan->entries[i]);
-  post_listed_endpoints (task);
+  post_weight_version_of_each_endpoint (task);
 }
 
 static void
-on_engine_changed (const LcPlanEntry *entry, void *user)
+on_engine_state_changed (const LcPlanEntry *entry, void *user)
 {
   DesiredTask *task = user;
 
@@ -217,7 +217,7 @@
 }
 
 static void
-post_listed_endpoints (DesiredTask *task)
+post_weight_version_of_each_endpoint (DesiredTask *task)
 {
   LnTask *calls = ln_hub_find_task (task->task.hub, "calls");
 
@@ -232,7 +232,7 @@
 }
 
 static void
-post_endpoint_list_applied (DesiredTask *task, const char *listed_by, LbTime requested_at)
+notify_calls_task_of_endpoint_list (DesiredTask *task, const char *listed_by, LbTime requested_at)
 {
   LnTask *calls = ln_hub_find_task (task->task.hub, "calls");
   LnEndpointListAppliedMessage message
@@ -243,17 +243,17 @@
     LN_POST (task->task.hub, calls, message);
 }
 
-static bool must_list_endpoints (const DesiredTask *task, LbTime now);
+static bool must_this_instance_list_endpoints (const DesiredTask *task, LbTime now);
 
 /* Ignores the catalog's list if this instance lists the endpoints itself: a list read from the
  * store also has the weight versions that the engines registered. */
 static bool
-on_catalog_endpoints (const LcRegistration *list, size_t n_list, LbTime valid_at, void *user)
+on_catalog_endpoint_list (const LcRegistration *list, size_t n_list, LbTime valid_at, void *user)
 {
   DesiredTask *task = user;
   LbTime now = lb_clock_monotonic ();
 
-  if (must_list_endpoints (task, now))
+  if (must_this_instance_list_endpoints (task, now))
     return false;
   LcRegistration *used = LB_NEW_ARRAY (LcRegistration, n_list + 1);
   size_t n_used = 0;
@@ -261,10 +261,11 @@
   for (size_t i = 0; i < n_list; i++)
     if (!task->desired || lc_desired_find_service (task->desired, list[i].service))
       used[n_used++] = list[i];
-  post_endpoint_list_applied (task, ln_catalog_get_publisher_name (task->catalog), valid_at);
+  notify_calls_task_of_endpoint_list (task, ln_catalog_get_publisher_name (task->catalog),
+                                      valid_at);
   if (lc_roster_apply_list (task->roster, used, n_used, valid_at, now))
     post_endpoint_resources (task);
-  post_listed_endpoints (task);
+  post_weight_version_of_each_endpoint (task);
   free (used);
   return true;
 }
@@ -275,15 +276,16 @@
   DesiredTask *task = user;
   LbTime now = lb_clock_monotonic ();
 
-  if (must_list_endpoints (task, now))
+  if (must_this_instance_list_endpoints (task, now))
     {
       ln_catalog_invalidate_endpoint_list (task->catalog);
       return;
     }
-  post_endpoint_list_applied (task, ln_catalog_get_publisher_name (task->catalog), valid_at);
+  notify_calls_task_of_endpoint_list (task, ln_catalog_get_publisher_name (task->catalog),
+                                      valid_at);
   if (lc_roster_confirm_list (task->roster, valid_at, now))
     post_endpoint_resources (task);
-  post_listed_endpoints (task);
+  post_weight_version_of_each_endpoint (task);
 }
 
 static void
@@ -293,7 +295,7 @@
 }
 
 static void
-on_catalog_members (const LcFleetMember *members, size_t n_members, void *user)
+on_catalog_member_list (const LcFleetMember *members, size_t n_members, void *user)
 {
   DesiredTask *task = user;
   LnTask *peers = ln_hub_find_task (task->task.hub, "peers");
@@ -307,7 +309,7 @@
 }
 
 static void
-post_catalog_followed (DesiredTask *task, LbTime now)
+notify_peers_task_of_catalog_following (DesiredTask *task, LbTime now)
 {
   LnTask *peers = ln_hub_find_task (task->task.hub, "peers");
   bool is_followed = !ln_catalog_needs_member_list (task->catalog, now);
@@ -329,18 +331,18 @@
   task->has_listed_endpoints = true;
   ln_catalog_set_subset_bounds (task->catalog, ln_endpoint_list_get_subset (task->endpoint_list));
   ln_catalog_set_endpoint_list (task->catalog, list, n_list, requested_at, now);
-  post_endpoint_list_applied (task, task->context->instance, requested_at);
+  notify_calls_task_of_endpoint_list (task, task->context->instance, requested_at);
   if (lc_roster_apply_list (task->roster, list, n_list, requested_at, now))
     post_endpoint_resources (task);
   ln_weight_orders_apply_endpoint_list (task->weight_orders, task->roster, requested_at, now);
-  post_listed_endpoints (task);
-  post_ready_when_loaded (task);
+  post_weight_version_of_each_endpoint (task);
+  post_ready_if_state_is_loaded (task);
 }
 
 static void
 on_endpoint_listing_failed (void *user)
 {
-  post_listed_endpoints (user);
+  post_weight_version_of_each_endpoint (user);
 }
 
 /* The publisher lists the endpoints at the catalog's period, since most instances get their list of
@@ -355,7 +357,7 @@
 /* An instance that runs batches or orders weights must list the endpoints itself: it needs the
  * weight versions that the engines registered, which are not in the catalog. */
 static bool
-must_list_endpoints (const DesiredTask *task, LbTime now)
+must_this_instance_list_endpoints (const DesiredTask *task, LbTime now)
 {
   return task->runs_batches || ln_weight_orders_has_lease (task->weight_orders)
          || ln_catalog_needs_endpoint_list (task->catalog, now);
@@ -384,7 +386,7 @@
 
 /* Posts the time at which the store last confirmed the desired state, if that time has changed. */
 static void
-post_desired_confirmed (DesiredTask *task)
+post_desired_state_confirmation_time (DesiredTask *task)
 {
   LnDesiredConfirmedMessage message = { .base = LN_MESSAGE (LN_DESIRED_CONFIRMED),
                                         .at = lp_follow_last_answer_at (task->operator_rows) };
@@ -396,7 +398,7 @@
 }
 
 static void
-post_weight_orders_duty (DesiredTask *task)
+post_weight_orders_duty_if_changed (DesiredTask *task)
 {
   bool has_lease = ln_weight_orders_has_lease (task->weight_orders);
   LnDutyMessage message
@@ -417,22 +419,22 @@
 
   ln_stall_set_activity ("tick of config");
   lp_follow_tick (task->operator_rows, now);
-  post_desired_confirmed (task);
+  post_desired_state_confirmation_time (task);
   ln_catalog_tick (task->catalog, lc_roster_count (task->roster), now);
-  post_catalog_followed (task, now);
+  notify_peers_task_of_catalog_following (task, now);
   bool is_listing = ln_endpoint_list_is_in_progress (task->endpoint_list);
-  if (!is_listing && now >= task->next_list_at && must_list_endpoints (task, now))
+  if (!is_listing && now >= task->next_list_at && must_this_instance_list_endpoints (task, now))
     request_endpoint_list (task, now);
   else if (is_listing && now - ln_endpoint_list_get_request_time (task->endpoint_list) > period
            && now >= task->next_list_at && now - task->last_tick_at < MAX_TICK_GAP)
     {
       /* The store does not answer the list request: the last list of endpoints stays in use. */
       task->next_list_at = now + period;
-      post_listed_endpoints (task);
+      post_weight_version_of_each_endpoint (task);
     }
   task->last_tick_at = now;
   ln_weight_orders_tick (task->weight_orders, now);
-  post_weight_orders_duty (task);
+  post_weight_orders_duty_if_changed (task);
   ln_engine_plans_set_watched (task->engine_plans,
                                task->runs_batches
                                    || ln_weight_orders_has_lease (task->weight_orders)
@@ -443,7 +445,7 @@
 }
 
 static void
-update_batch_duty (DesiredTask *task, const LnDutyMessage *message)
+record_batch_duty (DesiredTask *task, const LnDutyMessage *message)
 {
   if (message->duty == LN_DUTY_BATCHES)
     task->runs_batches = message->held;
@@ -458,7 +460,7 @@
 }
 
 static void
-update_members (DesiredTask *task, const LnMembersMessage *message)
+apply_members_message (DesiredTask *task, const LnMembersMessage *message)
 {
   lp_follow_set_watch_timeout (task->operator_rows,
                                message->is_omitted ? OMITTED_WATCH_TIMEOUT : WATCH_TIMEOUT);
@@ -476,11 +478,11 @@
   const LnFleetMessage *fleet = (const LnFleetMessage *)message;
 
   if (message->type == LN_MEMBERS)
-    update_members (task, (const LnMembersMessage *)message);
+    apply_members_message (task, (const LnMembersMessage *)message);
   else if (message->type == LN_FLEET)
     ln_catalog_set_members (task->catalog, fleet->members, fleet->n_members);
   else if (message->type == LN_DUTY)
-    update_batch_duty (task, (const LnDutyMessage *)message);
+    record_batch_duty (task, (const LnDutyMessage *)message);
   else if (message->type == LN_DEMAND)
     add_model_demand (task, demand, lb_clock_monotonic ());
 }
@@ -530,9 +532,9 @@
 ln_desired_task_new (LnContext *context)
 {
   static const LnCatalogHandlers catalog_handlers
-      = { .on_endpoints = on_catalog_endpoints,
+      = { .on_endpoints = on_catalog_endpoint_list,
           .on_endpoints_confirmed = on_catalog_endpoints_confirmed,
-          .on_members = on_catalog_members };
+          .on_members = on_catalog_member_list };
   static const LnEndpointListHandlers list_handlers
       = { .on_listed = on_endpoints_listed, .on_failed = on_endpoint_listing_failed };
   const LpFollowSettings follow_settings = { .table = context->dialect->operator_table,
@@ -548,12 +550,14 @@
   task->roster = lc_roster_new ();
   task->endpoint_list = ln_endpoint_list_new (context, &list_handlers, task);
   task->catalog = ln_catalog_new (context, &catalog_handlers, task);
-  task->weight_orders = ln_weight_orders_new (context, on_engine_changed, task);
+  task->weight_orders = ln_weight_orders_new (context, on_engine_state_changed, task);
   task->engine_plans = ln_engine_plans_new (context, on_engine_plan_changed, task);
   task->operator_rows
       = lp_follow_new (context->platform, &follow_settings, on_operator_rows_changed, task);
   task->last_tick_at = lb_clock_monotonic ();
-  task->tick = (LnPeriodicCall){ .period = TICK_PERIOD, .callback = on_desired_tick, .user = task };
+  task->tick = (LnPeriodicCall){ .period = DESIRED_TICK_PERIOD,
+                                 .callback = on_desired_tick,
+                                 .user = task };
   ln_ticker_add (ln_context_get_ticker (context), &task->tick);
   return &task->task;
 }
