--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -15,11 +15,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TABLE "catalog"
-/* All rows are in one partition of the table, since each write is conditional on the version of one
- * of the rows, that of the publisher. */
-#define KEY_PREFIX TABLE "/all/"
-#define PUBLISHER_DUTY TABLE
+#define CATALOG_TABLE "catalog"
+/* All rows of the catalog are in one partition of the table: each write is one transaction, which
+ * also compares the version of the publisher's row. */
+#define KEY_PREFIX CATALOG_TABLE "/all/"
+#define PUBLISHER_DUTY CATALOG_TABLE
 #define ENDPOINT_PREFIX "e:"
 #define INSTANCE_PREFIX "i:"
 /* Key prefix of a service's row; the row contains the last endpoint key that instances list. */
@@ -27,16 +27,17 @@
 /* Duration of one watch request, which also bounds how long a dead connection goes unnoticed. */
 #define WATCH_TIMEOUT (700 * LB_MSEC)
 #define WATCH_RETRY_DELAY (100 * LB_MSEC)
-/* A write that takes longer than this is superseded by the next listing. */
-#define WRITE_TIMEOUT (500 * LB_MSEC)
+/* Timeout of a write to the catalog. The next write, with the publisher's next list, includes the
+ * changes of a failed one. */
+#define CATALOG_WRITE_TIMEOUT (500 * LB_MSEC)
 #define MAX_PUBLISHER_CANDIDATES 3
 /* With fewer endpoints than this, listing their rows costs less than watching the catalog: at 2.5
  * lists per second, a list of 12 endpoints takes 16 kB/s, a list of 90 endpoints 114 kB/s. */
 #define MIN_ENDPOINTS_TO_FOLLOW 41
-/* Number of known instances from which each write of the catalog causes hundreds of answers to the
- * instances that watch it. */
+/* From this number of known instances on, the catalog is written less often, since each write
+ * causes hundreds of answers to the instances that watch it. */
 #define LARGE_FLEET_INSTANCES (LN_FLEET_DIRECTORY_MAX * 9 / 10)
-#define MAX_PUBLISH_PERIOD LB_SEC
+#define MAX_CATALOG_PUBLISH_PERIOD LB_SEC
 
 struct LnCatalog
 {
@@ -47,11 +48,12 @@
   LpFollow *follower;
   LnRowCache *endpoint_cache;     /* parsed rows of endpoints */
   LnRowCache *instance_cache;     /* parsed rows of instances */
-  int64_t delivered_change_count; /* change count of the endpoint list last delivered; -1: the next
-                                     list is delivered in full */
-  int64_t instances_change_count; /* change count at which the instances were last read */
-  int64_t last_instances_version; /* newest row version of the instances last read */
-  size_t n_last_instances;        /* number of instances last read */
+  int64_t delivered_change_count; /* the catalog's change count when its endpoint list was last
+                                     delivered; -1: the next list is delivered in full */
+  int64_t instances_change_count; /* the catalog's change count when its rows of instances were last
+                                     read */
+  int64_t last_instances_version; /* newest row version when the rows of instances were last read */
+  size_t n_last_instances;        /* number of instances when their rows were last read */
   bool has_had_many_endpoints;    /* at least MIN_ENDPOINTS_TO_FOLLOW were known at some time; the
                                      catalog is watched from then on */
   bool draining;
@@ -59,7 +61,8 @@
                candidate */
   LcFleetMember *members; /* all instances that this one knows */
   size_t n_members;
-  int cached_rank; /* rank computed from `members` and cached_rank_publisher */
+  int cached_rank; /* this instance's takeover rank, computed from `members` and
+                      cached_rank_publisher */
   LbName cached_rank_publisher;
   bool is_rank_cached;
   LbTime own_list_requested_at; /* when this instance last requested its own endpoint list */
@@ -86,7 +89,7 @@
 }
 
 static void
-log_publisher_change (LnCatalog *catalog, const char *before)
+log_publisher_if_changed (LnCatalog *catalog, const char *before)
 {
   const char *publisher = lc_catalog_publisher_name (catalog->catalog);
 
@@ -156,7 +159,7 @@
 }
 
 static void
-read_rows_with_prefix (const LnCatalog *catalog, const char *prefix, RowReader *reader)
+read_catalog_rows_with_prefix (const LnCatalog *catalog, const char *prefix, RowReader *reader)
 {
   ln_row_cache_begin_list (reader->cache);
   lc_catalog_foreach (catalog->catalog, prefix, append_parsed_row, reader);
@@ -164,7 +167,7 @@
 }
 
 static void
-deliver_endpoints (LnCatalog *catalog)
+deliver_catalog_endpoints (LnCatalog *catalog)
 {
   RowReader reader = { .cache = catalog->endpoint_cache, .item_size = sizeof (LcRegistration) };
   LbTime valid_at = lc_catalog_snapshot_valid_at (catalog->catalog);
@@ -177,7 +180,7 @@
       catalog->handlers.on_endpoints_confirmed (valid_at, catalog->user);
       return;
     }
-  read_rows_with_prefix (catalog, ENDPOINT_PREFIX, &reader);
+  read_catalog_rows_with_prefix (catalog, ENDPOINT_PREFIX, &reader);
   bool is_used = catalog->handlers.on_endpoints ((const LcRegistration *)reader.items,
                                                  reader.n_items, valid_at, catalog->user);
   catalog->delivered_change_count = is_used ? changes : -1;
@@ -185,7 +188,7 @@
 }
 
 static void
-deliver_instances (LnCatalog *catalog)
+deliver_catalog_instances (LnCatalog *catalog)
 {
   RowReader reader = { .cache = catalog->instance_cache, .item_size = sizeof (LcFleetMember) };
   int64_t changes = lc_catalog_change_count (catalog->catalog);
@@ -193,7 +196,7 @@
   if (catalog->instances_change_count == changes)
     return;
   catalog->instances_change_count = changes;
-  read_rows_with_prefix (catalog, INSTANCE_PREFIX, &reader);
+  read_catalog_rows_with_prefix (catalog, INSTANCE_PREFIX, &reader);
   if (reader.n_items > 0
       && (reader.newest_version != catalog->last_instances_version
           || reader.n_items != catalog->n_last_instances))
@@ -215,20 +218,20 @@
     if (strncmp (rows[i].key, KEY_PREFIX, strlen (KEY_PREFIX)) == 0)
       lc_catalog_apply_row (catalog->catalog, rows[i].key + strlen (KEY_PREFIX), rows[i].value,
                             rows[i].version);
-  log_publisher_change (catalog, before);
+  log_publisher_if_changed (catalog, before);
   if (!lc_catalog_finish_update (catalog->catalog, get_store_time_ms (catalog),
                                  lb_clock_monotonic ()))
     return;
   lb_metric_add (&snapshots_received, 1);
-  deliver_endpoints (catalog);
-  deliver_instances (catalog);
+  deliver_catalog_endpoints (catalog);
+  deliver_catalog_instances (catalog);
 }
 
 LnCatalog *
 ln_catalog_new (LnContext *context, const LnCatalogHandlers *handlers, void *user)
 {
   static const char *const prefixes[] = { KEY_PREFIX };
-  const LpFollowSettings settings = { .table = TABLE,
+  const LpFollowSettings settings = { .table = CATALOG_TABLE,
                                       .prefixes = prefixes,
                                       .n_prefixes = 1,
                                       .watch_timeout = WATCH_TIMEOUT,
@@ -283,7 +286,7 @@
 }
 
 static int
-compute_takeover_rank (const LnCatalog *catalog)
+compute_publisher_takeover_rank (const LnCatalog *catalog)
 {
   LcDutyCandidate *candidates = LB_NEW_ARRAY (LcDutyCandidate, catalog->n_members + 1);
   size_t n = collect_publisher_candidates (catalog, candidates);
@@ -293,29 +296,30 @@
   return rank < MAX_PUBLISHER_CANDIDATES && rank < n ? (int)rank : -1;
 }
 
-/* The rank is cached because each tick needs it and computing it reads all members, which may be
- * hundreds and rarely change. */
+/* The takeover rank is cached because each tick needs it and computing it reads all members, which
+ * may be hundreds and rarely change. */
 static int
-get_cached_takeover_rank (LnCatalog *catalog)
+get_cached_publisher_takeover_rank (LnCatalog *catalog)
 {
   const char *publisher = lc_catalog_publisher_name (catalog->catalog);
 
   if (!catalog->is_rank_cached || strcmp (catalog->cached_rank_publisher, publisher) != 0)
-    catalog->cached_rank = compute_takeover_rank (catalog);
+    catalog->cached_rank = compute_publisher_takeover_rank (catalog);
   LB_COPY (catalog->cached_rank_publisher, publisher);
   catalog->is_rank_cached = true;
   return catalog->cached_rank;
 }
 
 static int
-get_takeover_rank (LnCatalog *catalog)
+get_publisher_takeover_rank (LnCatalog *catalog)
 {
   LpPlatform *platform = catalog->context->platform;
   bool is_cut_off = !lp_platform_is_store_reachable (platform);
 
   if (catalog->draining || is_cut_off || !lp_follow_has_delivered_all_rows (catalog->follower))
     return -1;
-  return lc_catalog_is_publisher (catalog->catalog) ? 0 : get_cached_takeover_rank (catalog);
+  return lc_catalog_is_publisher (catalog->catalog) ? 0
+                                                    : get_cached_publisher_takeover_rank (catalog);
 }
 
 typedef struct
@@ -355,7 +359,7 @@
                                       .n_conditions = 1,
                                       .puts = puts,
                                       .n_puts = next->n_puts,
-                                      .timeout = WRITE_TIMEOUT };
+                                      .timeout = CATALOG_WRITE_TIMEOUT };
   lb_metric_add (&writes_sent, 1);
   platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_catalog_written, write);
   for (size_t i = 0; i < next->n_puts; i++)
@@ -380,7 +384,7 @@
  * that was first seen of the instance's incarnation. A version that the catalog already contains
  * for the incarnation is kept, so that a new publisher does not have to rewrite all rows. */
 static LcCatalogItem
-make_instance_item (const LnCatalog *catalog, const LcFleetMember *member)
+make_catalog_item_of_instance (const LnCatalog *catalog, const LcFleetMember *member)
 {
   LcFleetMember item = *member;
   LcFleetMember published;
@@ -394,12 +398,12 @@
 }
 
 static void
-update_instance_listing (LnCatalog *catalog)
+set_list_of_instances_to_publish (LnCatalog *catalog)
 {
   LcCatalogItem *items = LB_NEW_ARRAY (LcCatalogItem, catalog->n_members + 1);
 
   for (size_t i = 0; i < catalog->n_members; i++)
-    items[i] = make_instance_item (catalog, &catalog->members[i]);
+    items[i] = make_catalog_item_of_instance (catalog, &catalog->members[i]);
   lc_catalog_set_listing (catalog->catalog, INSTANCE_PREFIX, items, catalog->n_members, 0);
 }
 
@@ -413,7 +417,7 @@
 
   if (catalog->n_members < LARGE_FLEET_INSTANCES || period < LC_CATALOG_LISTING_PERIOD)
     return LC_CATALOG_LISTING_PERIOD;
-  return period < MAX_PUBLISH_PERIOD ? period : MAX_PUBLISH_PERIOD;
+  return period < MAX_CATALOG_PUBLISH_PERIOD ? period : MAX_CATALOG_PUBLISH_PERIOD;
 }
 
 void
@@ -425,7 +429,7 @@
   lc_catalog_set_own_period (catalog->catalog, choose_publish_period (catalog));
   catalog->is_rank_cached = false;
   if (catalog->has_had_many_endpoints && catalog->rank >= 0)
-    update_instance_listing (catalog);
+    set_list_of_instances_to_publish (catalog);
 }
 
 void
@@ -440,17 +444,17 @@
   catalog->draining = true;
 }
 
-/* A new candidate also sets the list of instances to publish: while it was no candidate, changes of
- * the members did not update that list. */
+/* An instance that becomes a candidate for publishing also sets the list of instances to publish:
+ * while it was no candidate, changes of the members did not update that list. */
 static void
-set_takeover_rank (LnCatalog *catalog, int rank)
+set_publisher_takeover_rank (LnCatalog *catalog, int rank)
 {
   bool is_new = rank >= 0 && catalog->rank < 0;
 
   catalog->rank = rank;
   lc_catalog_set_takeover_rank (catalog->catalog, rank);
   if (is_new && catalog->n_members > 0)
-    update_instance_listing (catalog);
+    set_list_of_instances_to_publish (catalog);
 }
 
 void
@@ -460,7 +464,7 @@
   if (!catalog->has_had_many_endpoints)
     return;
   lp_follow_tick (catalog->follower, now);
-  set_takeover_rank (catalog, get_takeover_rank (catalog));
+  set_publisher_takeover_rank (catalog, get_publisher_takeover_rank (catalog));
   send_next_catalog_write (catalog, now);
 }
 
@@ -501,7 +505,7 @@
 } BoundItems;
 
 static void
-append_subset_bound (const char *service, const char *bound, void *user)
+append_catalog_item_of_bound (const char *service, const char *bound, void *user)
 {
   BoundItems *bounds = user;
 
@@ -515,7 +519,7 @@
 {
   BoundItems bounds = { 0 };
 
-  lc_subset_foreach_bound (subset, append_subset_bound, &bounds);
+  lc_subset_foreach_bound (subset, append_catalog_item_of_bound, &bounds);
   if (catalog->has_had_many_endpoints && bounds.n > 0)
     lc_catalog_set_listing (catalog->catalog, BOUND_PREFIX, bounds.items, bounds.n, 0);
 }
--- a/packages/node/src/membership/ln-catalog.h
+++ b/packages/node/src/membership/ln-catalog.h
@@ -25,7 +25,7 @@
                         size_t n_endpoints,
                         LbTime valid_at,
                         void *user);
-  /* Called when the last list that was used is still correct as of valid_at. */
+  /* Called when the endpoint list that on_endpoints last used is still correct as of valid_at. */
   void (*on_endpoints_confirmed) (LbTime valid_at, void *user);
   /* Called when the instances or their states have changed. */
   void (*on_members) (const LcFleetMember *members, size_t n_members, void *user);
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -15,32 +15,32 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define TABLE "instance"
-/* Number of partitions of the directory's rows, since the store limits the write rate per
- * partition. In the unnamed partition, to which endpoints and operators also write, renewals of 84
- * instances were delayed by a second: live instances were considered dead and lost their batches
- * and lease. Each partition costs one list call, so there are few. */
+#define INSTANCE_TABLE "instance"
+/* Number of partitions over which the rows of instances are spread, since the store limits the
+ * write rate per partition. In the unnamed partition, to which endpoints and operators also write,
+ * renewals of 84 instances were delayed by a second: live instances were considered dead and lost
+ * their batches and lease. Each partition costs one list call, so there are few. */
 #define N_PARTITIONS 8
 #define DUTY_PARTITION "duty"
-#define MAX_ROWS_PER_PARTITION (LN_FLEET_DIRECTORY_MAX / N_PARTITIONS)
-/* Percentage of its capacity from which the directory counts as full, since rows of dead instances
- * occupy some of it. */
+#define MAX_LISTED_ROWS_PER_PARTITION (LN_FLEET_DIRECTORY_MAX / N_PARTITIONS)
+/* The directory counts as full from this percentage of LN_FLEET_DIRECTORY_MAX instances on, since
+ * rows of dead instances occupy the rest. */
 #define FULL_DIRECTORY_PERCENT 90
 /* The row of an instance is removed after the instance has been dead for this time; otherwise rows
  * of dead instances would fill the directory. */
 #define DEAD_ROW_REMOVAL_DELAY (60 * LB_SEC)
-/* Upper limit of the delay that each instance adds, derived from its name, so that not all
- * instances remove the same rows. */
+/* Upper limit of the time that each instance adds to DEAD_ROW_REMOVAL_DELAY, derived from its name,
+ * so that not all instances remove the same rows. */
 #define DEAD_ROW_REMOVAL_SPREAD (30 * LB_SEC)
 
-/* Time between two lists of the directory. It grows with the fleet and so limits the rate to a few
- * hundred rows per second. */
+/* Time between two lists of the rows in the directory. It grows with the number of instances, which
+ * limits the reading to a few hundred rows per second. */
 #define MIN_LIST_PERIOD (250 * LB_MSEC)
 #define LIST_PERIOD_PER_INSTANCE (8 * LB_MSEC)
 /* Delay before a list that the busy store refused is retried, and its maximum variation between
  * instances: a starting fleet sends more requests than the store accepts. */
-#define BUSY_RETRY_DELAY (300 * LB_MSEC)
-#define BUSY_RETRY_SPREAD LB_SEC
+#define BUSY_STORE_RETRY_DELAY (300 * LB_MSEC)
+#define BUSY_STORE_RETRY_SPREAD LB_SEC
 /* Time between two lists of the instances on duty, which are about a dozen. With a renewal every
  * 0.3 s, the death of an instance that runs batches is detected 1.5 s after its last renewal. From
  * the directory of 295 instances it would be detected after 2.5 s, on small sites sooner. */
@@ -52,7 +52,7 @@
   LnFleetLists *lists;
   const char *const *prefixes; /* key prefix of each partition */
   size_t n_prefixes;
-  int64_t row_limit; /* maximum number of rows per partition; 0: no limit */
+  int64_t row_limit; /* maximum number of rows to list per partition; 0: no limit */
   LcFleet *fleet;
   LnRowCache *row_cache;
   size_t n_pending;    /* number of partitions of the list in progress without an answer */
@@ -68,20 +68,21 @@
   LbName self; /* name of this instance */
   Listing directory;
   Listing on_duty;
-  LcFleetMember *members; /* merged from both lists, or as set from the catalog */
+  LcFleetMember *members; /* merged from the directory and the list of instances on duty, or set
+                             from the catalog */
   size_t n_members;
   bool is_followed; /* the members come from the catalog, and no rows are listed */
-  /* The next list is reported by on_change even if it is unchanged, since the catalog is no longer
-   * watched. */
+  /* on_change is called after the next list even if the list is unchanged, since the catalog, from
+   * which the members came until now, is no longer watched. */
   bool must_report;
   void (*on_change) (void *user);
   void *user;
 };
 
 static const char *const directory_prefixes[N_PARTITIONS]
-    = { TABLE "/0/", TABLE "/1/", TABLE "/2/", TABLE "/3/",
-        TABLE "/4/", TABLE "/5/", TABLE "/6/", TABLE "/7/" };
-static const char *const duty_prefixes[] = { TABLE "/" DUTY_PARTITION "/" };
+    = { INSTANCE_TABLE "/0/", INSTANCE_TABLE "/1/", INSTANCE_TABLE "/2/", INSTANCE_TABLE "/3/",
+        INSTANCE_TABLE "/4/", INSTANCE_TABLE "/5/", INSTANCE_TABLE "/6/", INSTANCE_TABLE "/7/" };
+static const char *const duty_prefixes[] = { INSTANCE_TABLE "/" DUTY_PARTITION "/" };
 
 void
 ln_fleet_row_format_key (const LcFleetRow *row, bool on_duty, char *key)
@@ -94,7 +95,7 @@
     snprintf (key, LN_FLEET_KEY_SIZE, "%s%s", duty_prefixes[0], row->name);
   else
     snprintf (key, LN_FLEET_KEY_SIZE, "%s%018lld-%s", directory_prefixes[hash % N_PARTITIONS],
-              (long long)lc_duty_sort_key (TABLE, &candidate), row->name);
+              (long long)lc_duty_sort_key (INSTANCE_TABLE, &candidate), row->name);
 }
 
 static bool
@@ -115,7 +116,7 @@
                                            .counter_prefix = "\"renewed_ms\":" };
 
 static void
-listing_init (Listing *listing,
+init_listing (Listing *listing,
               LnFleetLists *lists,
               const char *self,
               const char *const *prefixes,
@@ -142,9 +143,9 @@
   LB_COPY (lists->self, self);
   lists->on_change = on_change;
   lists->user = user;
-  listing_init (&lists->directory, lists, self, directory_prefixes, N_PARTITIONS,
-                MAX_ROWS_PER_PARTITION);
-  listing_init (&lists->on_duty, lists, self, duty_prefixes, 1, 0);
+  init_listing (&lists->directory, lists, self, directory_prefixes, N_PARTITIONS,
+                MAX_LISTED_ROWS_PER_PARTITION);
+  init_listing (&lists->on_duty, lists, self, duty_prefixes, 1, 0);
   return lists;
 }
 
@@ -170,7 +171,7 @@
 }
 
 static void
-add_listed_rows (Listing *listing, const LpRow *rows, size_t n_rows, LbTime now)
+add_rows_of_listed_partition (Listing *listing, const LpRow *rows, size_t n_rows, LbTime now)
 {
   LbError error = { 0 };
 
@@ -185,7 +186,7 @@
 }
 
 static void
-merge_members (LnFleetLists *lists)
+merge_members_of_both_lists (LnFleetLists *lists)
 {
   size_t max = lc_fleet_count_members (lists->directory.fleet)
                + lc_fleet_count_members (lists->on_duty.fleet);
@@ -196,7 +197,7 @@
 }
 
 static void
-on_row_removed (LbErrorCode error, const LpRow *row, void *user)
+on_directory_row_removed (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)user;
 
@@ -205,7 +206,7 @@
 }
 
 static void
-remove_directory_row (const LnFleetLists *lists, const LcFleetMember *member)
+remove_directory_row_of_member (const LnFleetLists *lists, const LcFleetMember *member)
 {
   char key[LN_FLEET_KEY_SIZE];
   const LpCondition condition = { .key = key, .version = member->version };
@@ -215,12 +216,12 @@
 
   ln_fleet_row_format_key (&member->row, false, key);
   lists->platform->klass->transact (lists->platform, &transaction, LP_PRIORITY_STATUS,
-                                    on_row_removed, NULL);
+                                    on_directory_row_removed, NULL);
 }
 
 /* Delay below `max`, derived from this instance's name so that it differs between instances. */
 static LbTime
-compute_delay_by_name (const LnFleetLists *lists, LbTime max)
+compute_delay_from_instance_name (const LnFleetLists *lists, LbTime max)
 {
   return (LbTime)(XXH3_64bits (lists->self, strlen (lists->self)) % (uint64_t)max);
 }
@@ -228,17 +229,17 @@
 /* Removes at most one row per list, so that the rows of a fleet that lost power are not all removed
  * at once. */
 static void
-remove_one_dead_row (const Listing *listing, LbTime now)
+remove_row_of_one_dead_instance (const Listing *listing, LbTime now)
 {
-  LbTime wait
-      = DEAD_ROW_REMOVAL_DELAY + compute_delay_by_name (listing->lists, DEAD_ROW_REMOVAL_SPREAD);
+  LbTime wait = DEAD_ROW_REMOVAL_DELAY
+                + compute_delay_from_instance_name (listing->lists, DEAD_ROW_REMOVAL_SPREAD);
 
   for (size_t i = 0; i < lc_fleet_count_members (listing->fleet); i++)
     {
       const LcFleetMember *member = lc_fleet_member_at (listing->fleet, i);
       if (member->alive || now - member->version_seen_at < wait)
         continue;
-      remove_directory_row (listing->lists, member);
+      remove_directory_row_of_member (listing->lists, member);
       return;
     }
 }
@@ -262,7 +263,8 @@
   listing->has_failed |= error != LB_OK;
   if (error == LB_ERROR_STORE_BUSY)
     listing->next_list_at
-        = now + BUSY_RETRY_DELAY + compute_delay_by_name (listing->lists, BUSY_RETRY_SPREAD);
+        = now + BUSY_STORE_RETRY_DELAY
+          + compute_delay_from_instance_name (listing->lists, BUSY_STORE_RETRY_SPREAD);
   if (listing->has_failed)
     return;
   if (!listing->has_begun)
@@ -271,17 +273,18 @@
       ln_row_cache_begin_list (listing->row_cache);
     }
   listing->has_begun = true;
-  add_listed_rows (listing, rows, n_rows, now);
+  add_rows_of_listed_partition (listing, rows, n_rows, now);
   if (listing->n_pending > 0)
     return;
   ln_row_cache_end_list (listing->row_cache);
   bool changed = lc_fleet_finish_list (listing->fleet, now);
   if (listing == &listing->lists->directory)
-    remove_one_dead_row (listing, now);
-  /* While the catalog is followed, the members come from the catalog. */
+    remove_row_of_one_dead_instance (listing, now);
+  /* A list that was requested before this instance began to follow the catalog is not used: the
+   * members come from the catalog now. */
   if (listing->lists->is_followed)
     return;
-  merge_members (listing->lists);
+  merge_members_of_both_lists (listing->lists);
   if (changed || listing->lists->must_report)
     listing->lists->on_change (listing->lists->user);
   listing->lists->must_report = false;
@@ -305,7 +308,7 @@
 }
 
 static void
-reset_listing (Listing *listing, const char *self)
+clear_listed_rows (Listing *listing, const char *self)
 {
   lc_fleet_free (listing->fleet);
   ln_row_cache_free (listing->row_cache);
@@ -324,8 +327,8 @@
   lists->must_report |= lists->is_followed && !is_followed;
   if (is_followed && !lists->is_followed)
     {
-      reset_listing (&lists->directory, lists->self);
-      reset_listing (&lists->on_duty, lists->self);
+      clear_listed_rows (&lists->directory, lists->self);
+      clear_listed_rows (&lists->on_duty, lists->self);
     }
   lists->is_followed = is_followed;
 }
--- a/packages/node/src/membership/ln-fleet-renewal.c
+++ b/packages/node/src/membership/ln-fleet-renewal.c
@@ -10,8 +10,9 @@
 #include <json-c/json.h>
 #include <stdlib.h>
 
-/* The renewal period grows with the fleet, as the list period does. This bounds the rate of
- * renewals and lists of all instances together. */
+/* The time between two renewals of an instance's row grows with the number of instances, as the
+ * time between two lists does. This bounds the rate of renewals and lists of all instances
+ * together. */
 #define MIN_RENEW_PERIOD (500 * LB_MSEC)
 #define RENEW_PERIOD_PER_INSTANCE (8 * LB_MSEC)
 /* Renewal period of an instance that the full directory omits, since no instance lists its row. */
@@ -60,13 +61,13 @@
 }
 
 static bool
-is_on_duty (const LnFleetRenewal *renewal, LbTime now)
+is_instance_on_duty (const LnFleetRenewal *renewal, LbTime now)
 {
   return renewal->has_duty || now < renewal->duty_until;
 }
 
 static void
-write_own_row (LnFleetRenewal *renewal, bool on_duty, const char *value, LpTransactDone done)
+write_instance_row (LnFleetRenewal *renewal, bool on_duty, const char *value, LpTransactDone done)
 {
   char key[LN_FLEET_KEY_SIZE];
   const LpPut put = { .key = key, .value = value };
@@ -92,7 +93,7 @@
 }
 
 static void
-write_renewal (LnFleetRenewal *renewal, bool on_duty, LbTime period, LbTime now)
+renew_instance_row (LnFleetRenewal *renewal, bool on_duty, LbTime period, LbTime now)
 {
   struct json_object *object = NULL;
 
@@ -102,7 +103,7 @@
   renewal->row->period = period;
   renewal->row->renewed_ms = lp_platform_get_store_clock_ms_at (renewal->platform, now);
   object = lc_fleet_row_to_json (renewal->row);
-  write_own_row (renewal, on_duty, json_object_to_json_string (object), on_renewal_answered);
+  write_instance_row (renewal, on_duty, json_object_to_json_string (object), on_renewal_answered);
   json_object_put (object);
 }
 
@@ -110,7 +111,7 @@
 renew_directory_row (LnFleetRenewal *renewal, LbTime now)
 {
   renewal->next_renewal_at = now + renewal->period;
-  write_renewal (renewal, false, renewal->period, now);
+  renew_instance_row (renewal, false, renewal->period, now);
 }
 
 static void
@@ -118,7 +119,7 @@
 {
   renewal->next_duty_renewal_at = now + DUTY_RENEW_PERIOD;
   renewal->may_have_duty_row = true;
-  write_renewal (renewal, true, DUTY_RENEW_PERIOD, now);
+  renew_instance_row (renewal, true, DUTY_RENEW_PERIOD, now);
 }
 
 static void
@@ -143,11 +144,11 @@
 {
   renewal->next_duty_renewal_at = now + DUTY_RENEW_PERIOD;
   renewal->is_removing_duty_row = true;
-  write_own_row (renewal, true, NULL, on_duty_row_removed);
+  write_instance_row (renewal, true, NULL, on_duty_row_removed);
 }
 
 static LbTime
-get_renew_period (const LnFleetListSummary *summary)
+get_directory_renewal_period (const LnFleetListSummary *summary)
 {
   if (summary->is_omitted)
     return OMITTED_RENEW_PERIOD;
@@ -157,7 +158,7 @@
 void
 ln_fleet_renewal_tick (LnFleetRenewal *renewal, const LnFleetListSummary *summary, LbTime now)
 {
-  LbTime period = get_renew_period (summary);
+  LbTime period = get_directory_renewal_period (summary);
 
   renewal->may_have_duty_row |= summary->has_duty_row;
   /* A period that becomes shorter, as on an instance just added to the directory, applies to the
@@ -169,7 +170,7 @@
     renew_directory_row (renewal, now);
   if (now < renewal->next_duty_renewal_at || renewal->is_removing_duty_row)
     return;
-  if (is_on_duty (renewal, now))
+  if (is_instance_on_duty (renewal, now))
     renew_duty_row (renewal, now);
   else if (renewal->may_have_duty_row && renewal->n_in_flight == 0)
     remove_duty_row (renewal, now);
@@ -179,7 +180,7 @@
 ln_fleet_renewal_write_row_now (LnFleetRenewal *renewal, LbTime now)
 {
   renew_directory_row (renewal, now);
-  if (is_on_duty (renewal, now) && !renewal->is_removing_duty_row)
+  if (is_instance_on_duty (renewal, now) && !renewal->is_removing_duty_row)
     renew_duty_row (renewal, now);
 }
 
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -18,7 +18,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TICK_PERIOD (100 * LB_MSEC)
+#define FLEET_TICK_PERIOD (100 * LB_MSEC)
 #define MAX_ENTRY_ADDRESSES 64
 #define CLOCK_LEAD_TOLERANCE_MS 25
 #define NOT_READY_RETRY_AFTER (300 * LB_MSEC)
@@ -43,7 +43,7 @@
 }
 
 static void
-post_members (Fleet *task)
+post_members_to_all_tasks (Fleet *task)
 {
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS) };
 
@@ -125,13 +125,13 @@
 static void
 on_instance_lists_changed (void *user)
 {
-  post_members (user);
+  post_members_to_all_tasks (user);
   post_fleet_to_config (user);
   set_store_relay_peers (user);
 }
 
 static bool
-has_any_duty (const Fleet *task)
+instance_has_any_duty (const Fleet *task)
 {
   for (int duty = 0; duty < LN_N_DUTIES; duty++)
     if (task->has_duty[duty])
@@ -139,8 +139,8 @@
   return false;
 }
 
-/* Writes a change of reachability to the row at once, since other instances must not assign batches
- * to this instance while it is cut off from the store. */
+/* Writes to this instance's row at once that the store became reachable or unreachable, since other
+ * instances must not assign batches to this instance while it is cut off from the store. */
 static void
 update_store_reachability (Fleet *task, LbTime now)
 {
@@ -154,10 +154,10 @@
     ln_fleet_renewal_write_row_now (task->renewal, now);
 }
 
-/* Updates the published value only when it changes by more than the jitter of the store's answers,
- * because every change of a row is read by all instances. */
+/* Updates the clock offset in this instance's row only when it changes by more than the jitter of
+ * the store's answers, because every change of a row is read by all instances. */
 static void
-update_clock_lead (Fleet *task, LbTime now)
+update_published_clock_lead (Fleet *task, LbTime now)
 {
   int64_t lead = ln_true_time_get_local_clock_offset_ms (task->context, now);
 
@@ -174,14 +174,15 @@
   LbTime now = lb_clock_monotonic ();
 
   update_store_reachability (task, now);
-  update_clock_lead (task, now);
+  update_published_clock_lead (task, now);
   const LnFleetListSummary summary
       = { .n_instances = ln_fleet_lists_count_members (task->lists),
           .is_omitted = ln_fleet_lists_omits_instance (task->lists, task->own_row.name),
           .has_duty_row = ln_fleet_lists_has_duty_row (task->lists, task->own_row.name) };
   ln_fleet_renewal_tick (task->renewal, &summary, now);
-  ln_ticker_set_idle (ln_context_get_ticker (task->context),
-                      summary.is_omitted && !has_any_duty (task) && !task->own_row.draining);
+  ln_ticker_set_idle (ln_context_get_ticker (task->context), summary.is_omitted
+                                                                 && !instance_has_any_duty (task)
+                                                                 && !task->own_row.draining);
   ln_fleet_lists_tick (task->lists, now);
 }
 
@@ -207,7 +208,7 @@
 /* Adds the addresses of other instances in the same data centre, or of those in other data centres.
  * must_be_fresh: adds only instances that missed no renewal. */
 static void
-add_other_addresses (
+add_addresses_of_other_instances (
     const Fleet *task, bool must_be_fresh, bool same_data_centre, const char **addresses, size_t *n)
 {
   for (size_t i = 0; i < ln_fleet_lists_count_members (task->lists); i++)
@@ -232,10 +233,10 @@
 
   if (task->own_row.ready && !task->own_row.draining)
     append_address_if_new (addresses, &n, task->own_row.caller_address);
-  add_other_addresses (task, true, true, addresses, &n);
-  add_other_addresses (task, true, false, addresses, &n);
-  add_other_addresses (task, false, true, addresses, &n);
-  add_other_addresses (task, false, false, addresses, &n);
+  add_addresses_of_other_instances (task, true, true, addresses, &n);
+  add_addresses_of_other_instances (task, true, false, addresses, &n);
+  add_addresses_of_other_instances (task, false, true, addresses, &n);
+  add_addresses_of_other_instances (task, false, false, addresses, &n);
   return n;
 }
 
@@ -286,10 +287,10 @@
   free (call);
 }
 
-/* Refuses the call at once if this instance is cut off from the store too. Otherwise the peer would
- * wait for a whole deadline before it tries another instance. */
+/* Refuses to relay a peer's store call if this instance is cut off from the store too. Otherwise
+ * the peer would wait for a whole deadline before it tries another instance. */
 static bool
-refuse_call_if_cut_off (const LpPlatform *platform, LnExchange *exchange)
+refuse_relay_if_cut_off_from_store (const LpPlatform *platform, LnExchange *exchange)
 {
   LbError error = { 0 };
 
@@ -318,7 +319,7 @@
       ln_exchange_reply_error (exchange, &error, 0);
       return;
     }
-  if (refuse_call_if_cut_off (platform, exchange))
+  if (refuse_relay_if_cut_off_from_store (platform, exchange))
     return;
   call = LB_NEW (RelayedCall);
   call->exchange = exchange;
@@ -327,7 +328,7 @@
 }
 
 static void
-handle_http_exchange (Fleet *task, LnExchange *exchange)
+answer_http_exchange (Fleet *task, LnExchange *exchange)
 {
   if (strcmp (ln_exchange_path (exchange), LP_PEER_PATH) == 0)
     relay_store_call (task, exchange);
@@ -336,10 +337,10 @@
 }
 
 static void
-record_duty_change (Fleet *task, const LnDutyMessage *message, LbTime now)
+record_duty_gained_or_lost (Fleet *task, const LnDutyMessage *message, LbTime now)
 {
   task->has_duty[message->duty] = message->held;
-  ln_fleet_renewal_set_duty (task->renewal, has_any_duty (task), now);
+  ln_fleet_renewal_set_duty (task->renewal, instance_has_any_duty (task), now);
 }
 
 static void
@@ -350,10 +351,10 @@
   switch ((LnMessageType)message->type)
     {
     case LN_EXCHANGE:
-      handle_http_exchange (task, ((const LnExchangeMessage *)message)->exchange);
+      answer_http_exchange (task, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_DUTY:
-      record_duty_change (task, (const LnDutyMessage *)message, lb_clock_monotonic ());
+      record_duty_gained_or_lost (task, (const LnDutyMessage *)message, lb_clock_monotonic ());
       break;
     case LN_CATALOG_FOLLOWED:
       ln_fleet_lists_set_catalog_followed (task->lists,
@@ -421,7 +422,8 @@
   task->renewal = ln_fleet_renewal_new (context->platform, &task->own_row);
   task->lists
       = ln_fleet_lists_new (context->platform, context->instance, on_instance_lists_changed, task);
-  task->tick = (LnPeriodicCall){ .period = TICK_PERIOD, .callback = on_fleet_tick, .user = task };
+  task->tick
+      = (LnPeriodicCall){ .period = FLEET_TICK_PERIOD, .callback = on_fleet_tick, .user = task };
   ln_ticker_add (ln_context_get_ticker (context), &task->tick);
   return &task->task;
 }
--- a/packages/node/src/membership/ln-frame-window.c
+++ b/packages/node/src/membership/ln-frame-window.c
@@ -43,7 +43,7 @@
 }
 
 static Origin *
-find_or_add_origin (LnFrameWindow *window, const char *name)
+find_or_add_sending_instance (LnFrameWindow *window, const char *name)
 {
   Origin *origin;
 
@@ -64,7 +64,7 @@
                                uint64_t epoch,
                                uint64_t sequence)
 {
-  Origin *origin = find_or_add_origin (window, name);
+  Origin *origin = find_or_add_sending_instance (window, name);
 
   if (epoch < origin->epoch)
     return false;
--- a/packages/node/src/membership/ln-members.c
+++ b/packages/node/src/membership/ln-members.c
@@ -52,7 +52,7 @@
 }
 
 static LnMember
-make_member (const LcMemberView *view)
+member_from_view (const LcMemberView *view)
 {
   LnMember member = { .alive = view->alive, .draining = view->draining, .is_self = view->is_self };
 
@@ -66,7 +66,7 @@
 
 /* Returns the state to log; NULL: the instance is alive, and neither suspected nor draining. */
 static const char *
-get_unusual_state (const LcMemberView *view)
+get_state_unless_normal (const LcMemberView *view)
 {
   if (view->instance.state == LC_INSTANCE_DEAD)
     return "dead";
@@ -77,13 +77,13 @@
 
 /* Logs the number of instances, and by name those that are dead, suspected or draining. */
 static void
-log_members (const LcMemberView *views, size_t n_views, size_t alive)
+log_instance_states (const LcMemberView *views, size_t n_views, size_t alive)
 {
   struct json_object *exceptions = json_object_new_object ();
 
   for (size_t i = 0; i < n_views; i++)
     {
-      const char *state = get_unusual_state (&views[i]);
+      const char *state = get_state_unless_normal (&views[i]);
       if (state)
         json_object_object_add (exceptions, views[i].instance.name, json_object_new_string (state));
     }
@@ -114,9 +114,9 @@
       if (views[i].instance.state == LC_INSTANCE_DEAD)
         continue;
       alive += views[i].alive;
-      message.members[message.n_members++] = make_member (&views[i]);
+      message.members[message.n_members++] = member_from_view (&views[i]);
     }
-  log_members (views, n_views, alive);
+  log_instance_states (views, n_views, alive);
   lb_metric_set (&members_alive, (int64_t)alive);
   lb_metric_set (&members_known, (int64_t)n_views);
   free (views);
--- a/packages/node/src/membership/ln-outbox.c
+++ b/packages/node/src/membership/ln-outbox.c
@@ -7,7 +7,7 @@
 
 #define MAX_QUEUED_FRAMES 1024
 #define MAX_QUEUED_BYTES ((size_t)16 << 20)
-#define MAX_QUEUE_TIME (5 * LB_SEC)
+#define MAX_FRAME_QUEUE_TIME (5 * LB_SEC)
 
 typedef struct
 {
@@ -56,7 +56,7 @@
   LB_COPY (queued->instance, instance);
   queued->frame = frame;
   queued->length = length;
-  queued->expires_at = now + MAX_QUEUE_TIME;
+  queued->expires_at = now + MAX_FRAME_QUEUE_TIME;
   outbox->bytes += length;
   lb_list_append (&outbox->frames, &queued->link);
   return true;
--- a/packages/node/src/membership/ln-peer-connection.c
+++ b/packages/node/src/membership/ln-peer-connection.c
@@ -31,7 +31,7 @@
 }
 
 static void
-send_message (LnPeerConnection *connection, const LwMessage *message)
+send_handshake_message (LnPeerConnection *connection, const LwMessage *message)
 {
   size_t length;
   uint8_t *frame = lw_message_encode (message, &length);
@@ -48,7 +48,7 @@
   if (!lw_handshake_handle_message (&connection->handshake, message, &answer, error))
     return false;
   if (answer.type != 0)
-    send_message (connection, &answer);
+    send_handshake_message (connection, &answer);
   if (connection->handshake.done)
     connection->handlers->opened (connection, &connection->handshake.peer, connection->user);
   return true;
@@ -128,7 +128,7 @@
     {
       set_tcp_no_delay (stream);
       lw_handshake_build_hello (&connection->handshake, &hello);
-      send_message (connection, &hello);
+      send_handshake_message (connection, &hello);
       return;
     }
   if (!(what & (BEV_EVENT_EOF | BEV_EVENT_ERROR)))
@@ -140,12 +140,12 @@
 }
 
 static LnPeerConnection *
-connection_new (struct bufferevent *stream,
-                bool is_dialler,
-                const char *key,
-                const LcInstance *self,
-                const LnPeerHandlers *handlers,
-                void *user)
+peer_connection_new (struct bufferevent *stream,
+                     bool is_dialler,
+                     const char *key,
+                     const LcInstance *self,
+                     const LnPeerHandlers *handlers,
+                     void *user)
 {
   LnPeerConnection *connection = LB_NEW (LnPeerConnection);
   uint8_t nonce[LW_NONCE_BYTES];
@@ -180,7 +180,7 @@
   if (evutil_parse_sockaddr_port (address, (struct sockaddr *)&target, &length) != 0)
     return NULL;
   struct bufferevent *stream = bufferevent_socket_new (base, -1, BEV_OPT_CLOSE_ON_FREE);
-  LnPeerConnection *connection = connection_new (stream, true, key, self, handlers, user);
+  LnPeerConnection *connection = peer_connection_new (stream, true, key, self, handlers, user);
   if (!connection)
     return NULL;
   /* Removes the callbacks during the connect call: no handler may be called before this function
@@ -209,7 +209,7 @@
     evutil_closesocket (fd);
   else
     set_tcp_no_delay (stream);
-  return connection_new (stream, false, key, self, handlers, user);
+  return peer_connection_new (stream, false, key, self, handlers, user);
 }
 
 void
--- a/packages/node/src/membership/ln-peer-connection.h
+++ b/packages/node/src/membership/ln-peer-connection.h
@@ -21,9 +21,10 @@
 /* TCP connection to another instance, which carries frames. */
 struct LnPeerConnection
 {
-  LbLink link;               /* link in a list of the owner */
+  LbLink link;               /* link in the owner's list of connections */
   uint64_t id;               /* set by the owner to identify the connection */
-  LbTime handshake_deadline; /* set and checked by the owner */
+  LbTime handshake_deadline; /* set by the owner, which closes the connection if the handshake takes
+                                longer */
 
   const LnPeerHandlers *handlers;
   void *user;
--- a/packages/node/src/membership/ln-peers-actions.c
+++ b/packages/node/src/membership/ln-peers-actions.c
@@ -6,7 +6,7 @@
 #include "lb-time.h"
 #include "ln-members.h"
 
-#define MIN_TIMER_DELAY LB_MSEC
+#define MIN_MEMBERSHIP_TICK_DELAY LB_MSEC
 
 static void
 dial_peer (LnPeers *peers, const LcMembershipAction *action)
@@ -41,7 +41,7 @@
 }
 
 static void
-send_action_message (LnPeers *peers, const LcMembershipAction *action)
+send_membership_message (LnPeers *peers, const LcMembershipAction *action)
 {
   static const LwMessageType message_types[] = { [LC_MEMBERSHIP_PING] = LW_PING,
                                                  [LC_MEMBERSHIP_BROADCAST] = LW_INSTANCES,
@@ -75,7 +75,7 @@
     case LC_MEMBERSHIP_BROADCAST:
     case LC_MEMBERSHIP_SEND:
     case LC_MEMBERSHIP_COMPARE:
-      send_action_message (peers, action);
+      send_membership_message (peers, action);
       break;
     case LC_MEMBERSHIP_CHANGED:
       ln_members_publish (peers->membership, peers->base.hub);
@@ -84,12 +84,12 @@
 }
 
 static void
-schedule_next_tick (LnPeers *peers)
+schedule_next_membership_tick (LnPeers *peers)
 {
   LbTime wait = lc_membership_next_tick (peers->membership) - lb_clock_monotonic ();
 
-  if (wait < MIN_TIMER_DELAY)
-    wait = MIN_TIMER_DELAY;
+  if (wait < MIN_MEMBERSHIP_TICK_DELAY)
+    wait = MIN_MEMBERSHIP_TICK_DELAY;
   struct timeval delay = lb_time_to_timeval (wait);
   event_add (peers->timer, &delay);
 }
@@ -106,5 +106,5 @@
       lc_membership_action_free (action);
     }
   ln_members_update_counters (peers->membership, &peers->counted_totals);
-  schedule_next_tick (peers);
+  schedule_next_membership_tick (peers);
 }
--- a/packages/node/src/membership/ln-peers-frames.c
+++ b/packages/node/src/membership/ln-peers-frames.c
@@ -15,10 +15,13 @@
                                                   NULL,
                                                   "Frames dropped before they were sent");
 
-/* Closes the connection if the frame can't be sent: a peer that does not read is treated like one
- * that sends nothing. */
+/* Closes the connection if the frame can't be sent: a peer that does not read from it is treated
+ * like a peer that sends nothing. */
 static void
-send_frame (LnPeers *peers, LnPeerConnection *connection, const uint8_t *frame, size_t length)
+send_frame_or_close_connection (LnPeers *peers,
+                                LnPeerConnection *connection,
+                                const uint8_t *frame,
+                                size_t length)
 {
   LcLinkId id = connection->id;
 
@@ -35,13 +38,13 @@
   size_t length;
   uint8_t *frame = lw_message_encode (message, &length);
 
-  send_frame (peers, connection, frame, length);
+  send_frame_or_close_connection (peers, connection, frame, length);
   if (message->type != LW_PING && message->type != LW_PONG)
     ln_peers_record_sent_frame (peers, connection);
   free (frame);
 }
 
-/* Two instances may have a connection in each direction. The frame is sent on the connection on
+/* If two instances have a connection in each direction, the frame is sent only on the connection on
  * which a frame arrived last. */
 void
 ln_peers_broadcast (LnPeers *peers, const LwMessage *message, LcLinkId except)
@@ -57,7 +60,7 @@
         && lc_membership_find_link (peers->membership, name) == connection->id)
       {
         ln_peers_record_sent_frame (peers, connection);
-        send_frame (peers, connection, frame, length);
+        send_frame_or_close_connection (peers, connection, frame, length);
       }
   }
   free (frame);
@@ -86,13 +89,13 @@
 }
 
 static void
-free_payload (LnMessage *message)
+free_message_payload (LnMessage *message)
 {
   free (((LnPeerMessage *)message)->payload);
 }
 
 static void
-deliver_to_task (
+deliver_payload_to_task (
     LnPeers *peers, const char *sender, const char *topic, const char *payload, size_t length)
 {
   LnTask *task = ln_hub_find_task (peers->base.hub, topic);
@@ -103,7 +106,7 @@
       lb_log (LB_LOG_WARNING, "peer_frame_without_task", LB_TEXT ("topic", topic));
       return;
     }
-  message.base.clear = free_payload;
+  message.base.clear = free_message_payload;
   LB_COPY (message.instance, sender);
   LB_COPY (message.topic, topic);
   message.payload = lb_malloc (length + 1);
@@ -123,14 +126,14 @@
       && !ln_frame_window_record_if_new (peers->seen_frames, message->origin, message->origin_epoch,
                                          message->sequence))
     return;
-  deliver_to_task (peers, message->origin, message->topic, message->payload,
-                   message->payload_length);
+  deliver_payload_to_task (peers, message->origin, message->topic, message->payload,
+                           message->payload_length);
   if (message->is_broadcast)
     ln_peers_broadcast (peers, message, from);
 }
 
 static void
-send_to_instance (LnPeers *peers, const char *name, const LwMessage *data, LbTime now)
+send_or_queue_for_instance (LnPeers *peers, const char *name, const LwMessage *data, LbTime now)
 {
   LcLinkId id = lc_membership_find_link (peers->membership, name);
   size_t length;
@@ -170,8 +173,8 @@
       ln_peers_broadcast (peers, &data, 0);
     }
   else if (strcmp (message->instance, self->name) == 0)
-    deliver_to_task (peers, self->name, message->topic, message->payload, message->length);
+    deliver_payload_to_task (peers, self->name, message->topic, message->payload, message->length);
   else
-    send_to_instance (peers, message->instance, &data, lb_clock_monotonic ());
+    send_or_queue_for_instance (peers, message->instance, &data, lb_clock_monotonic ());
   ln_peers_run_membership_actions (peers);
 }
--- a/packages/node/src/membership/ln-peers-list.c
+++ b/packages/node/src/membership/ln-peers-list.c
@@ -8,8 +8,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-#define MIN_LIST_PERIOD (2 * LB_SEC)
-#define MAX_LIST_PERIOD (30 * LB_SEC)
+#define MIN_PLATFORM_LIST_PERIOD (2 * LB_SEC)
+#define MAX_PLATFORM_LIST_PERIOD (30 * LB_SEC)
 #define LIST_PERIOD_PER_INSTANCE (200 * LB_MSEC)
 
 static bool
@@ -37,7 +37,7 @@
 
 /* Posts which endpoints are leaving according to the platform's list, and which no longer are. */
 static void
-apply_leaving_endpoints (LnPeers *peers, const LpInstanceList *list)
+post_listed_leaving_endpoints (LnPeers *peers, const LpInstanceList *list)
 {
   for (size_t i = 0; i < peers->n_leaving_endpoints; i++)
     if (!contains_name (list->leaving_endpoints, list->n_leaving_endpoints,
@@ -67,7 +67,7 @@
   lc_membership_apply_platform_list (peers->membership, listed, list->n_instances,
                                      lb_clock_monotonic (), &peers->actions);
   free (listed);
-  apply_leaving_endpoints (peers, list);
+  post_listed_leaving_endpoints (peers, list);
   ln_peers_run_membership_actions (peers);
 }
 
@@ -83,21 +83,22 @@
     apply_platform_instance_list (peers, list);
 }
 
-/* Each instance reads the list, which grows with the number of instances, so the period grows with
- * that number too. On average one instance still reads the list every LIST_PERIOD_PER_INSTANCE, and
- * notifies the others of leaving instances. The period is randomly shortened by up to a quarter, so
- * that instances that started together do not read the list at the same time. */
+/* Each instance reads the platform's list, which grows with the number of instances, so the time
+ * between two reads grows with that number too. On average one instance still reads the list every
+ * LIST_PERIOD_PER_INSTANCE, and notifies the others of leaving instances. The time is randomly
+ * shortened by up to a quarter, so that instances that started together do not read the list at the
+ * same time. */
 static LbTime
-choose_list_period (const LnPeers *peers, LbTime now)
+choose_platform_list_period (const LnPeers *peers, LbTime now)
 {
   LbTime period
       = (LbTime)lc_membership_count_instances (peers->membership) * LIST_PERIOD_PER_INSTANCE;
   LbTime spread = (LbTime)(XXH64 (&now, sizeof now, peers->context->settings->seed) % 512);
 
-  if (period < MIN_LIST_PERIOD)
-    period = MIN_LIST_PERIOD;
-  if (period > MAX_LIST_PERIOD)
-    period = MAX_LIST_PERIOD;
+  if (period < MIN_PLATFORM_LIST_PERIOD)
+    period = MIN_PLATFORM_LIST_PERIOD;
+  if (period > MAX_PLATFORM_LIST_PERIOD)
+    period = MAX_PLATFORM_LIST_PERIOD;
   return period - period * spread / 2048;
 }
 
@@ -108,7 +109,7 @@
 
   if (now < peers->next_list_at || peers->is_list_pending || !platform)
     return;
-  peers->next_list_at = now + choose_list_period (peers, now);
+  peers->next_list_at = now + choose_platform_list_period (peers, now);
   peers->is_list_pending = true;
   platform->klass->list_instances (platform, on_platform_instances_listed, peers);
 }
--- a/packages/node/src/membership/ln-peers-listen.c
+++ b/packages/node/src/membership/ln-peers-listen.c
@@ -30,11 +30,11 @@
 }
 
 static void
-on_accept (struct evconnlistener *listener,
-           evutil_socket_t fd,
-           struct sockaddr *address,
-           int length,
-           void *user)
+on_peer_connection_accepted (struct evconnlistener *listener,
+                             evutil_socket_t fd,
+                             struct sockaddr *address,
+                             int length,
+                             void *user)
 {
   (void)listener;
   (void)address;
@@ -99,7 +99,7 @@
 }
 
 static bool
-report_listen_error (const char *address)
+log_listen_error (const char *address)
 {
   LbError error;
 
@@ -116,13 +116,13 @@
   struct sockaddr_in listen_address = { 0 };
 
   if (!parse_listen_address (address, &listen_address))
-    return report_listen_error (address);
+    return log_listen_error (address);
   peers->listener
-      = evconnlistener_new_bind (peers->context->base, on_accept, peers,
+      = evconnlistener_new_bind (peers->context->base, on_peer_connection_accepted, peers,
                                  LEV_OPT_CLOSE_ON_FREE | LEV_OPT_REUSEABLE, -1,
                                  (struct sockaddr *)&listen_address, sizeof listen_address);
   if (!peers->listener)
-    return report_listen_error (address);
+    return log_listen_error (address);
   store_bound_address (peers);
   return true;
 }
--- a/packages/node/src/membership/ln-peers-load.c
+++ b/packages/node/src/membership/ln-peers-load.c
@@ -2,7 +2,7 @@
 
 #include <sys/resource.h>
 
-#define LOAD_PERIOD (5 * LB_SEC)
+#define LOAD_MEASUREMENT_PERIOD (5 * LB_SEC)
 
 static LbTime
 read_cpu_time (void)
@@ -22,10 +22,10 @@
   if (now < peers->next_load_at)
     return;
   LbTime cpu_time = read_cpu_time ();
-  LbTime elapsed = now - peers->next_load_at + LOAD_PERIOD;
+  LbTime elapsed = now - peers->next_load_at + LOAD_MEASUREMENT_PERIOD;
   int64_t load = (cpu_time - peers->cpu_time_used) * 1000 / elapsed;
   if (peers->next_load_at > 0)
     lc_membership_set_load (peers->membership, load, now, &peers->actions);
   peers->cpu_time_used = cpu_time;
-  peers->next_load_at = now + LOAD_PERIOD;
+  peers->next_load_at = now + LOAD_MEASUREMENT_PERIOD;
 }
--- a/packages/node/src/membership/ln-peers.c
+++ b/packages/node/src/membership/ln-peers.c
@@ -9,11 +9,11 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* The epoch is the wall clock in milliseconds, followed by 16 bits of a hash of the incarnation.
- * With equal epochs, two processes that start under the same name in the same millisecond would
- * count as one instance. */
+/* Makes the number by which the other instances order the incarnations of an instance: the wall
+ * clock in milliseconds, followed by 16 bits of a hash of the incarnation. Without the hash, two
+ * processes that start under the same name in the same millisecond would count as one instance. */
 static uint64_t
-make_epoch (const char *incarnation)
+make_incarnation_epoch (const char *incarnation)
 {
   uint64_t hash = XXH64 (incarnation, strlen (incarnation), 0);
 
@@ -21,9 +21,9 @@
 }
 
 static LcInstance
-make_own_instance (const LnContext *context)
+describe_this_instance (const LnContext *context)
 {
-  LcInstance self = { .epoch = make_epoch (context->incarnation) };
+  LcInstance self = { .epoch = make_incarnation_epoch (context->incarnation) };
 
   LB_COPY (self.name, context->instance);
   LB_COPY (self.incarnation, context->incarnation);
@@ -40,7 +40,7 @@
   const LnSettings *settings = peers->context->settings;
   LcMembershipSettings membership = lc_membership_settings_default ();
 
-  membership.self = make_own_instance (peers->context);
+  membership.self = describe_this_instance (peers->context);
   membership.random_seed
       = XXH64 (peers->context->incarnation, strlen (peers->context->incarnation), settings->seed);
   peers->membership = lc_membership_new (&membership, now);
@@ -77,7 +77,7 @@
 }
 
 static void
-peers_drain (LnTask *task)
+drain_peers_task (LnTask *task)
 {
   LnPeers *peers = (LnPeers *)task;
 
@@ -88,7 +88,7 @@
 }
 
 static void
-peers_receive_message (LnTask *task, const LnMessage *message)
+receive_peers_message (LnTask *task, const LnMessage *message)
 {
   LnPeers *peers = (LnPeers *)task;
 
@@ -103,7 +103,7 @@
       ln_peers_send_task_message (peers, (const LnPeerMessage *)message);
       break;
     case LN_DRAINING:
-      peers_drain (task);
+      drain_peers_task (task);
       break;
     default:
       break;
@@ -111,7 +111,7 @@
 }
 
 static void
-peers_free (LnTask *task)
+free_peers_task (LnTask *task)
 {
   LnPeers *peers = (LnPeers *)task;
   LbLink *link;
@@ -130,9 +130,10 @@
   free (peers);
 }
 
-static const LnTaskClass peers_class = {
-  .name = "peers", .receive = peers_receive_message, .drain = peers_drain, .free = peers_free
-};
+static const LnTaskClass peers_class = { .name = "peers",
+                                         .receive = receive_peers_message,
+                                         .drain = drain_peers_task,
+                                         .free = free_peers_task };
 
 /* Creates the task, binds the configured peer address and stores the bound address in the context.
  * Returns NULL if the address can't be bound. */
@@ -152,7 +153,7 @@
   ln_outbox_init (&peers->outbox);
   if (!ln_peers_start_listening (peers))
     {
-      peers_free (&peers->base);
+      free_peers_task (&peers->base);
       return NULL;
     }
   event_add (peers->timer, &no_delay);
