--- a/packages/node/src/endpoints/ln-crash-frame.c
+++ b/packages/node/src/endpoints/ln-crash-frame.c
@@ -11,7 +11,7 @@
 #define N_FRAME_FIELDS 3 /* elements of the frame's array: kind, key, text */
 
 static void
-free_payload (LnMessage *message)
+free_frame_payload (LnMessage *message)
 {
   free (((LnPeerMessage *)message)->payload);
 }
@@ -32,7 +32,7 @@
   ln_pack_text (&packer, FRAME_KIND);
   ln_pack_text (&packer, key);
   ln_pack_text (&packer, text);
-  message.base.clear = free_payload;
+  message.base.clear = free_frame_payload;
   message.payload = lb_memdup (buffer.data, buffer.size);
   message.length = buffer.size;
   msgpack_sbuffer_destroy (&buffer);
--- a/packages/node/src/endpoints/ln-crash-row.c
+++ b/packages/node/src/endpoints/ln-crash-row.c
@@ -6,7 +6,7 @@
 #include <json-c/json.h>
 #include <string.h>
 
-#define JSON_FORMAT (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
+#define JSON_OUTPUT_FLAGS (JSON_C_TO_STRING_PLAIN | JSON_C_TO_STRING_NOSLASHESCAPE)
 
 struct json_object *
 ln_crash_fingerprints_to_json (const LcFingerprint *fingerprints, size_t n_fingerprints)
@@ -33,7 +33,7 @@
   json_object_object_add (object, "contents",
                           ln_crash_fingerprints_to_json (row->report.fingerprints,
                                                          row->report.n_fingerprints));
-  return lb_json_serialize_and_release (object, JSON_FORMAT);
+  return lb_json_serialize_and_release (object, JSON_OUTPUT_FLAGS);
 }
 
 static bool
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -15,8 +15,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TABLE "crash"
-#define KEY_PREFIX TABLE "/all/"
+#define CRASH_TABLE "crash"
+#define KEY_PREFIX CRASH_TABLE "/all/"
 /* Timeout of one watch call, which also bounds how long a dead connection goes unnoticed. It is
  * below the three seconds within which all instances have to know of a request that crashes
  * endpoints. A shorter timeout would cost each instance more than half a store call per second. */
@@ -24,17 +24,18 @@
 #define WATCH_RETRY_DELAY (100 * LB_MSEC)
 /* Maximum random delay before an expired row is removed, so that not all instances remove the same
  * rows. */
-#define MAX_REMOVAL_DELAY (600 * LB_SEC)
-/* Time between two scans of the rows on a platform without watches. Instances there also send each
- * row in a frame, but a frame may be lost with its connection. */
-#define SCAN_PERIOD (5 * LB_SEC)
-/* A row received less than this time ago is kept if a list does not contain it, because the list
- * may have been requested before the row was written. */
+#define MAX_EXPIRED_ROW_REMOVAL_DELAY (600 * LB_SEC)
+/* Time between two reads of all rows on a platform without watches. Instances there also send each
+ * new row to each other in a frame, but a frame may be lost with its connection. */
+#define TABLE_SCAN_PERIOD (5 * LB_SEC)
+/* A row received less than this time ago is kept even if a copy of the table does not contain it,
+ * because the copy may have been requested before the row was written. */
 #define NEW_ROW_GRACE_TIME (10 * LB_SEC)
-/* Maximum time that a new instance waits for the existing rows; enough for a few replies of a slow
- * store. */
+/* Maximum time that a starting instance waits for the rows that are already in the store; enough
+ * for a few replies of a slow store. */
 #define MAX_INITIAL_READ_TIME (2 * LB_SEC)
-/* Maximum number of rows that this instance tracks in order to remove them when they expire. */
+/* Maximum number of rows of the store that this instance remembers, so that it can remove them when
+ * they expire. */
 #define MAX_KNOWN_ROWS 1024
 
 /* A row of the store that this instance has read or written. */
@@ -69,7 +70,7 @@
  * answers. On a store without a clock they are by the wall clock, which is accurate enough for
  * report lifetimes of an hour. */
 static void
-update_store_clock (LnCrashes *crashes)
+update_store_clock_offset (LnCrashes *crashes)
 {
   LpPlatform *platform = crashes->context->platform;
   int64_t ms = platform->klass->store_clock_ms ? platform->klass->store_clock_ms (platform)
@@ -82,15 +83,15 @@
 }
 
 static int64_t
-convert_to_store_ms (const LnCrashes *crashes, LbTime at)
+convert_local_time_to_store_ms (const LnCrashes *crashes, LbTime at)
 {
   return crashes->has_store_clock ? (at + crashes->store_clock_offset) / LB_MSEC : 0;
 }
 
-/* Replaces an unknown or future time by the current time: the report then expires late instead of
- * being ignored. */
+/* Converts a time in a row to this instance's clock. Replaces an unknown or future time by the
+ * current time: the report then expires late instead of being ignored. */
 static LbTime
-convert_from_store_ms (const LnCrashes *crashes, int64_t ms, LbTime now)
+convert_store_ms_to_local_time (const LnCrashes *crashes, int64_t ms, LbTime now)
 {
   LbTime at = ms * LB_MSEC - crashes->store_clock_offset;
 
@@ -100,7 +101,7 @@
 /* --- reading rows --- */
 
 static KnownRow *
-find_known_row (const LnCrashes *crashes, const char *key)
+find_known_crash_row (const LnCrashes *crashes, const char *key)
 {
   LB_LIST_FOREACH (&crashes->rows, KnownRow, link, row)
   {
@@ -111,7 +112,7 @@
 }
 
 static void
-remove_known_row (LnCrashes *crashes, KnownRow *row)
+forget_known_crash_row (LnCrashes *crashes, KnownRow *row)
 {
   lb_list_remove (&crashes->rows, &row->link);
   free (row->key);
@@ -119,21 +120,21 @@
 }
 
 static void
-add_known_row (LnCrashes *crashes, const char *key, LbTime at)
+add_known_crash_row (LnCrashes *crashes, const char *key, LbTime at)
 {
   double draw = ln_context_random_uniform (crashes->context);
   KnownRow *oldest = LB_LIST_FIRST (&crashes->rows, KnownRow, link);
   KnownRow *row = NULL;
 
-  if (find_known_row (crashes, key))
+  if (find_known_crash_row (crashes, key))
     return;
   if (oldest && crashes->rows.length >= MAX_KNOWN_ROWS)
-    remove_known_row (crashes, oldest);
+    forget_known_crash_row (crashes, oldest);
   row = LB_NEW (KnownRow);
   row->key = lb_strdup (key);
   row->received_at = lb_clock_monotonic ();
-  row->remove_at
-      = at + lc_quarantine_report_lifetime () + (LbTime)(draw * (double)MAX_REMOVAL_DELAY) + LB_SEC;
+  row->remove_at = at + lc_quarantine_report_lifetime ()
+                   + (LbTime)(draw * (double)MAX_EXPIRED_ROW_REMOVAL_DELAY) + LB_SEC;
   lb_list_append (&crashes->rows, &row->link);
 }
 
@@ -148,25 +149,25 @@
       lb_log_error (LB_LOG_WARNING, "crash_row_not_read", &error);
       return;
     }
-  row.report.at = convert_from_store_ms (crashes, row.at_ms, now);
+  row.report.at = convert_store_ms_to_local_time (crashes, row.at_ms, now);
   LB_COPY (row.report.id, key);
-  add_known_row (crashes, key, row.report.at);
+  add_known_crash_row (crashes, key, row.report.at);
   if (row.is_clearance)
     lc_quarantine_add_clearance (crashes->quarantine, row.report.fingerprints[0], row.report.at);
   else
     lc_quarantine_add_report (crashes->quarantine, &row.report, now);
 }
 
-/* Applies the removal of a row from the store: the row expired, or an operator released its request
- * from quarantine. */
+/* Withdraws the crash report of a row that was removed from the store: the row expired, or an
+ * operator released the request from quarantine. */
 static void
-apply_row_removal (LnCrashes *crashes, const char *key)
+apply_crash_row_removal (LnCrashes *crashes, const char *key)
 {
-  KnownRow *row = find_known_row (crashes, key);
+  KnownRow *row = find_known_crash_row (crashes, key);
 
   lc_quarantine_withdraw_report (crashes->quarantine, key);
   if (row)
-    remove_known_row (crashes, row);
+    forget_known_crash_row (crashes, row);
 }
 
 static bool
@@ -181,14 +182,17 @@
 /* rows: a complete copy of the table. Known rows that are missing from it were removed without this
  * instance being notified. */
 static void
-forget_missing_rows (LnCrashes *crashes, const LpRow *rows, size_t n_rows, LbTime now)
+forget_known_rows_missing_from_table (LnCrashes *crashes,
+                                      const LpRow *rows,
+                                      size_t n_rows,
+                                      LbTime now)
 {
   LB_LIST_FOREACH (&crashes->rows, KnownRow, link, row)
   {
     if (now - row->received_at < NEW_ROW_GRACE_TIME || has_row_with_key (row->key, rows, n_rows))
       continue;
     lc_quarantine_withdraw_report (crashes->quarantine, row->key);
-    remove_known_row (crashes, row);
+    forget_known_crash_row (crashes, row);
   }
 }
 
@@ -198,20 +202,20 @@
   LbTime now = lb_clock_monotonic ();
 
   if (crashes->is_complete_copy)
-    forget_missing_rows (crashes, rows, n_rows, now);
+    forget_known_rows_missing_from_table (crashes, rows, n_rows, now);
   crashes->is_complete_copy = false;
 
-  update_store_clock (crashes);
+  update_store_clock_offset (crashes);
   for (size_t i = 0; i < n_rows; i++)
     if (rows[i].value)
       apply_crash_row (crashes, rows[i].key, rows[i].value, now);
     else
-      apply_row_removal (crashes, rows[i].key);
+      apply_crash_row_removal (crashes, rows[i].key);
   ln_crashes_publish_clearances (crashes);
 }
 
 static void
-on_crash_rows (const LpRow *rows, size_t n_rows, void *user)
+on_crash_rows_changed (const LpRow *rows, size_t n_rows, void *user)
 {
   apply_crash_rows (user, rows, n_rows);
 }
@@ -221,19 +225,19 @@
 {
   LnCrashes *crashes = user;
 
-  update_store_clock (crashes);
+  update_store_clock_offset (crashes);
   crashes->is_complete_copy = true;
 }
 
 static void
-on_rows_scanned (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_crash_rows_scanned (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   LnCrashes *crashes = user;
 
   crashes->is_scanning = false;
   if (error != LB_OK && error != LB_ERROR_NOT_FOUND)
     return;
-  crashes->next_scan_at = lb_clock_monotonic () + SCAN_PERIOD;
+  crashes->next_scan_at = lb_clock_monotonic () + TABLE_SCAN_PERIOD;
   crashes->has_scanned = true;
   crashes->is_complete_copy = true;
   apply_crash_rows (crashes, rows, error == LB_OK ? n_rows : 0);
@@ -248,7 +252,7 @@
 {
   char *text = ln_crash_row_to_text (row);
 
-  add_known_row (crashes, key, row->report.at);
+  add_known_crash_row (crashes, key, row->report.at);
   if (!crashes->follower)
     ln_crash_frame_send (crashes->context->hub, key, text);
   ln_unwritten_rows_write (crashes->unwritten, key, text);
@@ -262,7 +266,7 @@
                          size_t n_fingerprints)
 {
   const LnContext *context = crashes->context;
-  LnCrashRow row = { .at_ms = convert_to_store_ms (crashes, at) };
+  LnCrashRow row = { .at_ms = convert_local_time_to_store_ms (crashes, at) };
   LcCrashReport *report = &row.report;
 
   LB_COPY (report->endpoint, endpoint);
@@ -290,7 +294,7 @@
     {
       lc_fingerprint_to_text (row.report.fingerprints[0], text);
       snprintf (key, sizeof key, "%sanswered:%s", KEY_PREFIX, text);
-      row.at_ms = convert_to_store_ms (crashes, row.report.at);
+      row.at_ms = convert_local_time_to_store_ms (crashes, row.report.at);
       publish_crash_row (crashes, key, &row);
     }
 }
@@ -310,14 +314,14 @@
 /* --- periodic work --- */
 
 static void
-remove_expired_rows (LnCrashes *crashes, LbTime now)
+remove_expired_crash_rows (LnCrashes *crashes, LbTime now)
 {
   LB_LIST_FOREACH (&crashes->rows, KnownRow, link, row)
   {
     if (row->remove_at > now)
       continue;
     ln_unwritten_rows_write (crashes->unwritten, row->key, NULL);
-    remove_known_row (crashes, row);
+    forget_known_crash_row (crashes, row);
   }
 }
 
@@ -331,14 +335,14 @@
 }
 
 static void
-scan_rows_if_due (LnCrashes *crashes, LbTime now)
+scan_crash_rows_if_due (LnCrashes *crashes, LbTime now)
 {
   LpPlatform *platform = crashes->context->platform;
 
   if (crashes->is_scanning || now < crashes->next_scan_at)
     return;
   crashes->is_scanning = true;
-  platform->klass->scan (platform, KEY_PREFIX, on_rows_scanned, crashes);
+  platform->klass->scan (platform, KEY_PREFIX, on_crash_rows_scanned, crashes);
 }
 
 void
@@ -348,19 +352,19 @@
     lp_follow_tick (crashes->follower, now);
   else
     {
-      update_store_clock (crashes);
-      scan_rows_if_due (crashes, now);
+      update_store_clock_offset (crashes);
+      scan_crash_rows_if_due (crashes, now);
     }
   lc_quarantine_expire (crashes->quarantine, now);
   ln_unwritten_rows_retry_writes (crashes->unwritten);
-  remove_expired_rows (crashes, now);
+  remove_expired_crash_rows (crashes, now);
 }
 
 LnCrashes *
 ln_crashes_new (LnContext *context, LcQuarantine *quarantine)
 {
   static const char *const prefixes[] = { KEY_PREFIX };
-  const LpFollowSettings settings = { .table = TABLE,
+  const LpFollowSettings settings = { .table = CRASH_TABLE,
                                       .prefixes = prefixes,
                                       .n_prefixes = 1,
                                       .watch_timeout = WATCH_TIMEOUT,
@@ -374,7 +378,8 @@
   lb_list_init (&crashes->rows);
   crashes->unwritten = ln_unwritten_rows_new (context->platform, context->incarnation);
   if (context->platform->klass->watch)
-    crashes->follower = lp_follow_new (context->platform, &settings, on_crash_rows, crashes);
+    crashes->follower
+        = lp_follow_new (context->platform, &settings, on_crash_rows_changed, crashes);
   return crashes;
 }
 
@@ -383,7 +388,7 @@
 {
   LB_LIST_FOREACH (&crashes->rows, KnownRow, link, row)
   {
-    remove_known_row (crashes, row);
+    forget_known_crash_row (crashes, row);
   }
   ln_unwritten_rows_free (crashes->unwritten);
   lp_follow_free (crashes->follower);
--- a/packages/node/src/endpoints/ln-endpoint-checks.c
+++ b/packages/node/src/endpoints/ln-endpoint-checks.c
@@ -13,14 +13,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Timeout of one probe: a hundred round trips between data centres. */
+/* Timeout of one attempt to connect to an endpoint that may have crashed: a hundred round trips
+ * between data centres. */
 #define PROBE_TIMEOUT (250 * LB_MSEC)
-/* Time for which an accepted probe connection must stay open. An exiting process loses its
- * connections before its listening socket, on a busy machine by some ten milliseconds. */
-#define PROBE_HOLD_TIME (300 * LB_MSEC)
+/* An endpoint that accepts a probe connection and keeps it open for this time has not crashed. An
+ * exiting process loses its connections some ten milliseconds before its listening socket on a busy
+ * machine. */
+#define PROBE_CONNECTION_HOLD_TIME (300 * LB_MSEC)
 /* Maximum number of failed requests recorded per check, several times the concurrent requests of an
  * endpoint; further requests are not recorded. */
-#define MAX_FINGERPRINTS LC_MAX_REPORT_FINGERPRINTS
+#define MAX_FAILED_REQUESTS_PER_CHECK LC_MAX_REPORT_FINGERPRINTS
 
 typedef struct
 {
@@ -30,7 +32,7 @@
   LbName endpoint;
   LbName address;
   LbTime failed_at; /* time of the first failed request */
-  LcFingerprint fingerprints[MAX_FINGERPRINTS];
+  LcFingerprint fingerprints[MAX_FAILED_REQUESTS_PER_CHECK];
   size_t n_fingerprints;
 } Check;
 
@@ -60,7 +62,7 @@
 }
 
 static void
-check_free (Check *check)
+endpoint_check_free (Check *check)
 {
   lb_list_remove (&check->owner->running, &check->link);
   free (check);
@@ -72,13 +74,13 @@
   LB_LIST_FOREACH (&checks->running, Check, link, check)
   {
     lh_connect_probe_cancel (check->probe);
-    check_free (check);
+    endpoint_check_free (check);
   }
   free (checks);
 }
 
 static void
-log_check_outcome (const Check *check, LhConnectProbeOutcome outcome)
+log_endpoint_check_outcome (const Check *check, LhConnectProbeOutcome outcome)
 {
   static const char *const names[] = { [LH_CONNECT_PROBE_OPEN] = "open",
                                        [LH_CONNECT_PROBE_CLOSED] = "closed",
@@ -95,19 +97,19 @@
   json_object_put (fingerprints);
 }
 
-static bool start_probe (Check *check, LbTime hold_time);
+static bool start_connect_probe (Check *check, LbTime hold_time);
 
-/* Probes a second time if the connection was accepted and then closed. An exiting endpoint does so
- * and refuses the second connection; a live endpoint may close connections if it has too many.
- */
+/* Connects a second time if the endpoint accepted the first connection and then closed it, as an
+ * exiting endpoint does, but also a live endpoint that has too many connections. Only the exiting
+ * endpoint refuses the second connection. */
 static void
-on_probe_done (LhConnectProbeOutcome outcome, void *user)
+on_connect_probe_done (LhConnectProbeOutcome outcome, void *user)
 {
   Check *check = user;
   const LnEndpointChecks *checks = check->owner;
 
-  log_check_outcome (check, outcome);
-  if (outcome == LH_CONNECT_PROBE_CLOSED && start_probe (check, 0))
+  log_endpoint_check_outcome (check, outcome);
+  if (outcome == LH_CONNECT_PROBE_CLOSED && start_connect_probe (check, 0))
     return;
   if (outcome == LH_CONNECT_PROBE_REFUSED)
     {
@@ -115,11 +117,11 @@
       checks->on_crashed (check->endpoint, check->failed_at, check->fingerprints,
                           check->n_fingerprints, checks->user);
     }
-  check_free (check);
+  endpoint_check_free (check);
 }
 
 static Check *
-find_running_check (LnEndpointChecks *checks, const char *endpoint)
+find_running_endpoint_check (LnEndpointChecks *checks, const char *endpoint)
 {
   LB_LIST_FOREACH (&checks->running, Check, link, check)
   {
@@ -130,17 +132,17 @@
 }
 
 static bool
-start_probe (Check *check, LbTime hold_time)
+start_connect_probe (Check *check, LbTime hold_time)
 {
   const LhConnectProbeTimes times = { .connect_timeout = PROBE_TIMEOUT, .hold_time = hold_time };
 
   check->probe = lh_connect_probe_start (check->owner->context->base, check->address, &times,
-                                         on_probe_done, check);
+                                         on_connect_probe_done, check);
   return check->probe != NULL;
 }
 
 static Check *
-start_check (LnEndpointChecks *checks, const char *endpoint, const char *address)
+start_endpoint_check (LnEndpointChecks *checks, const char *endpoint, const char *address)
 {
   Check *check = LB_NEW (Check);
 
@@ -149,11 +151,11 @@
   LB_COPY (check->endpoint, endpoint);
   LB_COPY (check->address, address);
   lb_list_append (&checks->running, &check->link);
-  if (start_probe (check, PROBE_HOLD_TIME))
+  if (start_connect_probe (check, PROBE_CONNECTION_HOLD_TIME))
     return check;
   lb_log (LB_LOG_WARNING, "endpoint_not_checked", LB_TEXT ("endpoint", endpoint),
           LB_TEXT ("address", address));
-  check_free (check);
+  endpoint_check_free (check);
   return NULL;
 }
 
@@ -163,11 +165,11 @@
                                       const char *address,
                                       LcFingerprint fingerprint)
 {
-  Check *check = find_running_check (checks, endpoint);
+  Check *check = find_running_endpoint_check (checks, endpoint);
 
   if (!check)
-    check = start_check (checks, endpoint, address);
-  if (check && check->n_fingerprints < MAX_FINGERPRINTS
+    check = start_endpoint_check (checks, endpoint, address);
+  if (check && check->n_fingerprints < MAX_FAILED_REQUESTS_PER_CHECK
       && !lc_fingerprint_is_among (fingerprint, check->fingerprints, check->n_fingerprints))
     check->fingerprints[check->n_fingerprints++] = fingerprint;
 }
--- a/packages/node/src/endpoints/ln-endpoint-checks.h
+++ b/packages/node/src/endpoints/ln-endpoint-checks.h
@@ -8,7 +8,8 @@
  * connection, but only a crashed endpoint refuses new connections right afterwards. */
 typedef struct LnEndpointChecks LnEndpointChecks;
 
-/* Called when an endpoint has crashed. fingerprints: of the requests that failed with it. */
+/* Called when a check has found that the endpoint crashed. fingerprints: of the requests that
+ * failed in the crash. */
 typedef void (*LnEndpointCrashed) (const char *endpoint,
                                    LbTime failed_at,
                                    const LcFingerprint *fingerprints,
--- a/packages/node/src/endpoints/ln-endpoint-list.c
+++ b/packages/node/src/endpoints/ln-endpoint-list.c
@@ -25,8 +25,8 @@
   LbTime requested_at;
   int64_t page_size;
   size_t n_pages;
-  size_t logged_pages;           /* number of pages in the last log line */
-  LcRegistration *registrations; /* endpoints parsed from the pages of the current list */
+  size_t logged_pages;           /* number of pages of the list that was last logged */
+  LcRegistration *registrations; /* endpoints parsed so far of the list in progress */
   size_t n_registrations;
   size_t capacity;
 };
@@ -82,7 +82,7 @@
  * to the endpoint, but if it is an engine, it would be given weights and samples. Until the desired
  * state is known, no endpoint is rejected. */
 static const LcRegistration *
-read_registration (LnEndpointList *list, const LpRow *row, LbError *error)
+parse_registration_of_desired_service (LnEndpointList *list, const LpRow *row, LbError *error)
 {
   const LcRegistration *registration = ln_row_cache_get_content (list->row_cache, row, error);
 
@@ -107,10 +107,10 @@
 }
 
 static void
-add_endpoint_row (LnEndpointList *list, const LpRow *row)
+add_endpoint_of_row (LnEndpointList *list, const LpRow *row)
 {
   LbError error = { 0 };
-  const LcRegistration *registration = read_registration (list, row, &error);
+  const LcRegistration *registration = parse_registration_of_desired_service (list, row, &error);
 
   if (!registration)
     {
@@ -139,10 +139,11 @@
                             list->user);
 }
 
-static void request_page (LnEndpointList *list, const char *after);
+static void request_endpoint_page (LnEndpointList *list, const char *after);
 
 static void
-on_page_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_endpoint_page_listed (
+    LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
   LnEndpointList *list = user;
@@ -158,22 +159,22 @@
     }
   list->n_pages++;
   for (size_t i = 0; i < n_rows; i++)
-    add_endpoint_row (list, &rows[i]);
+    add_endpoint_of_row (list, &rows[i]);
   if (lc_subset_end_page (list->subset, last, is_last))
-    request_page (list, last);
+    request_endpoint_page (list, last);
   else
     finish_endpoint_list (list);
 }
 
-/* after: last key of the previous page; "": requests the first page. */
+/* Requests the page of endpoint rows that follows the key `after`; "": the first page. */
 static void
-request_page (LnEndpointList *list, const char *after)
+request_endpoint_page (LnEndpointList *list, const char *after)
 {
   LpPlatform *platform = list->context->platform;
   const char *prefix = list->context->dialect->endpoint_key_prefix;
   char *from = after[0] ? lb_asprintf ("%s\x01", after + strlen (prefix)) : NULL;
 
-  platform->klass->list (platform, prefix, from, list->page_size, on_page_listed, list);
+  platform->klass->list (platform, prefix, from, list->page_size, on_endpoint_page_listed, list);
   free (from);
 }
 
@@ -188,7 +189,7 @@
   ln_row_cache_begin_list (list->row_cache);
   lc_subset_begin_list (list->subset, now);
   list->n_pages = 0;
-  request_page (list, "");
+  request_endpoint_page (list, "");
 }
 
 bool
--- a/packages/node/src/endpoints/ln-leaving.c
+++ b/packages/node/src/endpoints/ln-leaving.c
@@ -23,7 +23,7 @@
 struct LnLeaving
 {
   LnTask *task;
-  AnnouncedEndpoint *announced; /* incarnations already announced, keyed by endpoint name */
+  AnnouncedEndpoint *announced; /* incarnations announced as leaving, by endpoint name */
 };
 
 LnLeaving *
@@ -49,10 +49,10 @@
   free (leaving);
 }
 
-/* Records that this incarnation of the endpoint was announced; returns false if that was recorded
- * before. */
+/* Records that this incarnation of the endpoint was announced as leaving; returns false if it was
+ * recorded already. */
 static bool
-mark_announced (LnLeaving *leaving, const char *endpoint, const char *incarnation)
+record_announced_incarnation (LnLeaving *leaving, const char *endpoint, const char *incarnation)
 {
   AnnouncedEndpoint *announced = NULL;
 
@@ -70,13 +70,13 @@
 }
 
 static void
-free_payload (LnMessage *message)
+free_frame_payload (LnMessage *message)
 {
   free (((LnPeerMessage *)message)->payload);
 }
 
 static void
-broadcast_leaving (LnTask *peers, const LcEndpoint *endpoint)
+broadcast_leaving_endpoint (LnTask *peers, const LcEndpoint *endpoint)
 {
   LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = FRAME_TOPIC };
   msgpack_sbuffer buffer;
@@ -87,7 +87,7 @@
   msgpack_pack_array (&packer, N_FRAME_FIELDS);
   ln_pack_text (&packer, endpoint->member.name);
   ln_pack_text (&packer, endpoint->report.incarnation);
-  message.base.clear = free_payload;
+  message.base.clear = free_frame_payload;
   message.payload = lb_memdup (buffer.data, buffer.size);
   message.length = buffer.size;
   msgpack_sbuffer_destroy (&buffer);
@@ -107,8 +107,8 @@
   if (!endpoint || !endpoint->leaving || endpoint->member.leaving || !peers
       || endpoint->report.incarnation[0] == '\0')
     return;
-  if (mark_announced (leaving, endpoint->member.name, endpoint->report.incarnation))
-    broadcast_leaving (peers, endpoint);
+  if (record_announced_incarnation (leaving, endpoint->member.name, endpoint->report.incarnation))
+    broadcast_leaving_endpoint (peers, endpoint);
 }
 
 static bool
@@ -136,7 +136,7 @@
             && parse_leaving_fields (&unpacked.data, message);
   msgpack_unpacked_destroy (&unpacked);
   if (ok)
-    mark_announced (leaving, message->endpoint, message->incarnation);
+    record_announced_incarnation (leaving, message->endpoint, message->incarnation);
   else
     lb_metric_count_error (LB_ERROR_FRAME_GARBLED);
   return ok;
