--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -12,25 +12,25 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define TABLE "plan"
-/* The rows are in the partition of the weights lease, not in the unnamed partition, to which
- * endpoints and operators write. */
-#define KEY_PREFIX TABLE "/weights/"
-#define KEY_SIZE 32
+#define PLAN_TABLE "plan"
+/* The rows are in the partition of the weights lease, not in the unnamed partition, whose limited
+ * write rate is used by endpoints and operators. */
+#define KEY_PREFIX PLAN_TABLE "/weights/"
+#define PART_KEY_BYTES 32
 /* Duration of one watch request, which also bounds how long a dead connection goes unnoticed. */
 #define WATCH_TIMEOUT (900 * LB_MSEC)
 #define WATCH_RETRY_DELAY (200 * LB_MSEC)
-/* Time between two reads by an instance that sends nothing to engines. A watch would report changes
- * several times per second, since weight loads change the rows that often. */
-#define IDLE_READ_INTERVAL (5 * LB_SEC)
+/* Time between two reads of the plan by an instance that sends nothing to engines. A watch would
+ * report changes several times per second, since weight loads change the rows that often. */
+#define UNWATCHED_READ_INTERVAL (5 * LB_SEC)
 /* Minimum time between two writes of the plan. With many engines, weight loads begin and end
  * several times per second; one write covers them all. */
-#define WRITE_PERIOD (150 * LB_MSEC)
+#define MIN_PLAN_WRITE_PERIOD (150 * LB_MSEC)
 /* Time between two divisions of the engines among the models; batches arrive every few seconds, and
  * each updates the demand. */
-#define DIVISION_PERIOD (2 * LB_SEC)
-/* A new writer of the plan that knows no demand does not divide the engines for this time, since it
- * may not have read the rows of batches yet. */
+#define ENGINE_DIVISION_PERIOD (2 * LB_SEC)
+/* An instance that becomes the writer of the plan and knows no demand for models does not divide
+ * the engines for this time, since it may not have read the rows of batches yet. */
 #define DEMAND_WARM_UP_TIME (3 * LB_SEC)
 
 struct LnEnginePlans
@@ -39,7 +39,7 @@
   void (*on_plan) (const LcEnginePlan *plan, void *user);
   void *user;
   LcEnginePlan parts[LC_ENGINE_PLAN_PARTS]; /* parts of the plan as stored, one row per part */
-  int64_t versions[LC_ENGINE_PLAN_PARTS];   /* row version of each part; 0: no row known */
+  int64_t versions[LC_ENGINE_PLAN_PARTS];   /* version of each part's row; 0: no row was read yet */
   LcEnginePlan plan;                        /* the whole plan: all parts together */
   LcEnginePlan desired;                     /* the plan to be stored, kept by the writer only */
   bool is_writer; /* this instance orders weights and so writes the plan */
@@ -48,38 +48,40 @@
   LcDemand *demand;
   bool is_write_pending;
   bool must_retry_write;
-  bool is_in_write[LC_ENGINE_PLAN_PARTS]; /* parts of the write in progress or of the last one */
+  bool is_in_write[LC_ENGINE_PLAN_PARTS]; /* the write in progress, or the last write, includes this
+                                             part */
   LbTime next_write_at;
   LbTime next_division_at; /* when the engines are next divided among the models */
 };
 
 static void
-format_part_key (size_t index, char *key)
+format_plan_part_key (size_t index, char *key)
 {
-  snprintf (key, KEY_SIZE, KEY_PREFIX "%02zx", index);
+  snprintf (key, PART_KEY_BYTES, KEY_PREFIX "%02zx", index);
 }
 
 /* Returns the index of the part that is stored under the key, or LC_ENGINE_PLAN_PARTS if there is
  * none. */
 static size_t
-find_part_index (const char *key)
+find_plan_part_index (const char *key)
 {
-  char part_key[KEY_SIZE];
+  char part_key[PART_KEY_BYTES];
 
   for (size_t i = 0; i < LC_ENGINE_PLAN_PARTS; i++)
     {
-      format_part_key (i, part_key);
+      format_plan_part_key (i, part_key);
       if (strcmp (key, part_key) == 0)
         return i;
     }
   return LC_ENGINE_PLAN_PARTS;
 }
 
-/* Returns true if the row was newer than the known row of its part and could be parsed. */
+/* Applies a row that holds a part of the plan. Returns true if the row was newer than the last row
+ * of that part and could be parsed. */
 static bool
 apply_plan_row (LnEnginePlans *plans, const LpRow *row)
 {
-  size_t index = find_part_index (row->key);
+  size_t index = find_plan_part_index (row->key);
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
   LcEnginePlan part;
   bool is_applied = false;
@@ -102,7 +104,7 @@
 }
 
 static void
-on_rows_changed (const LpRow *rows, size_t n_rows, void *user)
+on_plan_rows_changed (const LpRow *rows, size_t n_rows, void *user)
 {
   LnEnginePlans *plans = user;
   bool is_applied = false;
@@ -122,7 +124,7 @@
                      void *user)
 {
   static const char *const prefixes[] = { KEY_PREFIX };
-  const LpFollowSettings settings = { .table = TABLE,
+  const LpFollowSettings settings = { .table = PLAN_TABLE,
                                       .prefixes = prefixes,
                                       .n_prefixes = 1,
                                       .watch_timeout = WATCH_TIMEOUT,
@@ -133,14 +135,14 @@
   plans->on_plan = on_plan;
   plans->user = user;
   plans->demand = lc_demand_new ();
-  plans->row_watch = lp_follow_new (context->platform, &settings, on_rows_changed, plans);
+  plans->row_watch = lp_follow_new (context->platform, &settings, on_plan_rows_changed, plans);
   return plans;
 }
 
 void
 ln_engine_plans_set_watched (LnEnginePlans *plans, bool is_watched, LbTime now)
 {
-  lp_follow_set_list_interval (plans->row_watch, is_watched ? 0 : IDLE_READ_INTERVAL, now);
+  lp_follow_set_list_interval (plans->row_watch, is_watched ? 0 : UNWATCHED_READ_INTERVAL, now);
 }
 
 void
@@ -161,10 +163,10 @@
   lc_demand_add (plans->demand, model, (double)tokens, now);
 }
 
-/* Clears the known content of a part whose write failed, so that the part is written again.
- * Otherwise its row would be outdated until the next change of the part. */
+/* Clears this instance's copy of a part of the plan whose write failed, so that the part is written
+ * again. Otherwise the row would be outdated until the part changes next. */
 static void
-invalidate_part (LnEnginePlans *plans, size_t index)
+invalidate_plan_part (LnEnginePlans *plans, size_t index)
 {
   lc_engine_plan_clear (&plans->parts[index]);
   plans->must_retry_write = true;
@@ -178,7 +180,7 @@
   plans->is_write_pending = false;
   for (size_t i = 0; i < LC_ENGINE_PLAN_PARTS; i++)
     if (plans->is_in_write[i] && error != LB_OK)
-      invalidate_part (plans, i);
+      invalidate_plan_part (plans, i);
     else if (plans->is_in_write[i] && row->version > plans->versions[i])
       plans->versions[i] = row->version;
   if (error != LB_OK)
@@ -187,21 +189,21 @@
 
 typedef struct
 {
-  char keys[LC_ENGINE_PLAN_PARTS][KEY_SIZE];
+  char keys[LC_ENGINE_PLAN_PARTS][PART_KEY_BYTES];
   struct json_object *objects[LC_ENGINE_PLAN_PARTS];
   LpCondition conditions[LC_ENGINE_PLAN_PARTS];
   LpPut puts[LC_ENGINE_PLAN_PARTS];
   size_t n;
 } PlanWrite;
 
-/* Adds the part to the write, and updates the known part at once, without waiting until the watch
- * delivers the row that this instance writes. */
+/* Adds a part of the plan to the write, and updates this instance's copy of the part at once,
+ * without waiting until the watch delivers the row that this instance writes. */
 static void
-add_part_to_write (LnEnginePlans *plans, size_t index, LcEnginePlan *part, PlanWrite *write)
+add_plan_part_to_write (LnEnginePlans *plans, size_t index, LcEnginePlan *part, PlanWrite *write)
 {
   size_t n = write->n++;
 
-  format_part_key (index, write->keys[n]);
+  format_plan_part_key (index, write->keys[n]);
   write->objects[n] = lc_engine_plan_to_json (part);
   write->conditions[n] = (LpCondition){ .key = write->keys[n], .version = plans->versions[index] };
   write->puts[n] = (LpPut){ .key = write->keys[n],
@@ -212,7 +214,7 @@
 }
 
 static void
-add_changed_parts_to_write (LnEnginePlans *plans, PlanWrite *write)
+add_changed_plan_parts_to_write (LnEnginePlans *plans, PlanWrite *write)
 {
   for (size_t i = 0; i < LC_ENGINE_PLAN_PARTS; i++)
     {
@@ -220,20 +222,20 @@
       lc_engine_plan_copy_part (&plans->desired, i, &part);
       plans->is_in_write[i] = !lc_engine_plan_is_same (&part, &plans->parts[i]);
       if (plans->is_in_write[i])
-        add_part_to_write (plans, i, &part, write);
+        add_plan_part_to_write (plans, i, &part, write);
       else
         lc_engine_plan_clear (&part);
     }
 }
 
 static void
-write_plan (LnEnginePlans *plans, LbTime now)
+write_changed_plan_parts (LnEnginePlans *plans, LbTime now)
 {
   LpPlatform *platform = plans->context->platform;
   PlanWrite write = { .n = 0 };
 
   plans->must_retry_write = false;
-  add_changed_parts_to_write (plans, &write);
+  add_changed_plan_parts_to_write (plans, &write);
   /* No part differs from its row, for example because a write that was considered failed took
    * effect and the watch has shown its rows since. */
   if (write.n == 0)
@@ -244,7 +246,7 @@
                                       .puts = write.puts,
                                       .n_puts = write.n };
   plans->is_write_pending = true;
-  plans->next_write_at = now + WRITE_PERIOD;
+  plans->next_write_at = now + MIN_PLAN_WRITE_PERIOD;
   platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_plan_written, plans);
   for (size_t i = 0; i < write.n; i++)
     json_object_put (write.objects[i]);
@@ -276,13 +278,13 @@
 }
 
 static bool
-is_demand_known (const LnEnginePlans *plans, LbTime now)
+is_model_demand_known (const LnEnginePlans *plans, LbTime now)
 {
   return !lc_demand_is_empty (plans->demand) || now - plans->writer_since >= DEMAND_WARM_UP_TIME;
 }
 
 static void
-divide_engines (LnEnginePlans *plans, const LcRoster *roster, LbTime now)
+divide_engines_among_models (LnEnginePlans *plans, const LcRoster *roster, LbTime now)
 {
   LcPlanEntry *engines = LB_NEW_ARRAY (LcPlanEntry, lc_roster_count (roster) + 1);
   LbName models[LC_MAX_MODELS];
@@ -306,9 +308,10 @@
   free (engines);
 }
 
-/* A new writer starts from the plan of the previous writer. */
+/* Sets whether this instance writes the plan. A new writer starts from the plan of the previous
+ * writer. */
 static void
-set_is_writer (LnEnginePlans *plans, bool is_writer, LbTime now)
+set_is_plan_writer (LnEnginePlans *plans, bool is_writer, LbTime now)
 {
   if (is_writer && !plans->is_writer)
     {
@@ -323,15 +326,15 @@
 ln_engine_plans_tick (LnEnginePlans *plans, const LcRoster *roster, bool may_write, LbTime now)
 {
   lp_follow_tick (plans->row_watch, now);
-  set_is_writer (plans, may_write && lp_follow_has_delivered_all_rows (plans->row_watch), now);
+  set_is_plan_writer (plans, may_write && lp_follow_has_delivered_all_rows (plans->row_watch), now);
   if (!plans->is_writer)
     return;
-  if (now >= plans->next_division_at && is_demand_known (plans, now))
+  if (now >= plans->next_division_at && is_model_demand_known (plans, now))
     {
-      plans->next_division_at = now + DIVISION_PERIOD;
-      divide_engines (plans, roster, now);
+      plans->next_division_at = now + ENGINE_DIVISION_PERIOD;
+      divide_engines_among_models (plans, roster, now);
     }
   if (!plans->is_write_pending && now >= plans->next_write_at
       && (plans->must_retry_write || !lc_engine_plan_is_same (&plans->desired, &plans->plan)))
-    write_plan (plans, now);
+    write_changed_plan_parts (plans, now);
 }
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -17,10 +17,13 @@
 #include <string.h>
 #include <uthash.h>
 
-#define DUTY_NAME "weights"
-#define RESPONSE_TIMEOUT (1200 * LB_MSEC) /* for the answer to an order or a state query */
-#define LOAD_TIMEOUT (6 * LB_SEC)         /* several times the load time of a single engine */
-#define QUERY_RETRY_DELAY (120 * LB_MSEC) /* after a failed query or order */
+#define LEASE_DUTY_NAME "weights"
+/* Timeout of an engine's answer to an order or to a query of its state. */
+#define RESPONSE_TIMEOUT (1200 * LB_MSEC)
+/* Several times the time that a single engine takes to load weights. */
+#define LOAD_TIMEOUT (6 * LB_SEC)
+/* Delay before an engine's state is queried after a failed query or order. */
+#define QUERY_RETRY_DELAY (120 * LB_MSEC)
 /* Time after which an engine without an answer no longer counts as loading by an order of the
  * previous lease holder. A new holder queries all engines at once, and they answer within some 10
  * ms, whether they are loading or not. */
@@ -48,7 +51,8 @@
    * the next order. */
   int64_t orders_accepted;
   LcVersion version;         /* version of the loaded weights, as last reported; 0: unknown */
-  LcVersion ordered_version; /* version in the order in progress; 0: no order */
+  LcVersion ordered_version; /* version that the order in progress tells the engine to load; 0: no
+                                order */
   LbTime ordered_at;
   LbTime next_query_at;
   LbTime query_sent_at; /* when the query in progress was sent */
@@ -70,8 +74,8 @@
   Engine *engines;       /* hash table by name */
 };
 
-/* Called when the lease was gained or lost. Discards the engines' states, since this instance does
- * not know the orders of the previous holder. */
+/* Called when the weights lease was gained or lost. Discards the engines' states, since this
+ * instance does not know the orders of the previous lease holder. */
 static void
 discard_engine_states (LbTime now, void *user)
 {
@@ -99,9 +103,9 @@
   orders->context = context;
   orders->on_engine = on_engine;
   orders->user = user;
-  orders->lease
-      = ln_duty_lease_new (context, DUTY_NAME, context->settings->weights.endpoints_check_fence,
-                           discard_engine_states, orders);
+  orders->lease = ln_duty_lease_new (context, LEASE_DUTY_NAME,
+                                     context->settings->weights.endpoints_check_fence,
+                                     discard_engine_states, orders);
   lb_list_init (&orders->models);
   return orders;
 }
@@ -175,7 +179,7 @@
 }
 
 static void
-configure_engine (LnWeightOrders *orders, const LcEndpointMember *member)
+add_or_update_engine (LnWeightOrders *orders, const LcEndpointMember *member)
 {
   Engine *engine = find_engine (orders, member->name);
 
@@ -189,9 +193,9 @@
     }
   engine->is_configured = true;
   LB_COPY (engine->address, member->address);
-  /* The version belongs to the previous model's weights. If it were kept, requests would be sent to
-   * weights of the new model that the engine does not have, and the generated texts discarded as
-   * stale. */
+  /* The engine's version belongs to the previous model's weights. If it were kept, requests for
+   * that version of the new model, which the engine does not have, would be sent to the engine, and
+   * the generated texts discarded as stale. */
   if (strcmp (engine->model, member->pool) != 0)
     {
       engine->ordered_version = 0;
@@ -214,7 +218,7 @@
       if (member->kind != LC_ENDPOINT_ENGINE || member->leaving)
         continue;
       orders->all_check_fences &= member->checks_fence;
-      configure_engine (orders, member);
+      add_or_update_engine (orders, member);
     }
   HASH_ITER (hh, orders->engines, engine, next)
   {
@@ -241,7 +245,7 @@
 /* --- states of engines --- */
 
 static void
-publish_engine_state (const Engine *engine)
+report_engine_state (const Engine *engine)
 {
   LcPlanEntry entry = { .version = engine->version, .loading = engine->ordered_version != 0 };
 
@@ -267,7 +271,7 @@
   if (engine->ordered_version != 0
       && (version >= engine->ordered_version || now - engine->ordered_at > LOAD_TIMEOUT))
     engine->ordered_version = 0;
-  publish_engine_state (engine);
+  report_engine_state (engine);
   report.loading = engine->ordered_version != 0;
   LB_COPY (report.incarnation, engine->name);
   lb_list_init (&actions);
@@ -294,7 +298,7 @@
     }
 }
 
-static void order_loads (LnWeightOrders *orders, LbTime now);
+static void order_weight_loads (LnWeightOrders *orders, LbTime now);
 
 /* Records the version read from the engine. When a load has ended, orders the next load at once:
  * the next tick may be 25 ms away. */
@@ -313,11 +317,11 @@
   if (ordered_version == 0 || version < ordered_version)
     return;
   lc_load_time_add_sample (&orders->load_time, now - engine->ordered_at);
-  order_loads (orders, now);
+  order_weight_loads (orders, now);
 }
 
 static void
-on_state_query_done (LhFetch *fetch, const LhResult *result, void *user)
+on_engine_state_query_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   Engine *engine = user;
@@ -349,7 +353,7 @@
 static void
 query_engine_state (Engine *engine, LbTime now)
 {
-  const LhHandlers handlers = { .on_done = on_state_query_done };
+  const LhHandlers handlers = { .on_done = on_engine_state_query_done };
   const LhRequest request = { .method = "GET",
                               .address = engine->address,
                               .path = engine->orders->context->dialect->engine_state_path,
@@ -363,7 +367,7 @@
 /* --- orders --- */
 
 static LbErrorCode
-convert_outcome_to_error (LnOrderOutcome outcome)
+order_outcome_to_error (LnOrderOutcome outcome)
 {
   switch (outcome)
     {
@@ -381,7 +385,7 @@
 }
 
 static void
-on_order_answered (LhFetch *fetch, const LhResult *result, void *user)
+on_weights_order_answered (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   Engine *engine = user;
@@ -390,7 +394,7 @@
   LbTime now = lb_clock_monotonic ();
   LbErrorCode error = result->failure != LB_OK
                           ? result->failure
-                          : convert_outcome_to_error (
+                          : order_outcome_to_error (
                               orders->context->dialect->classify_order_reply (result->status));
 
   engine->order_fetch = NULL;
@@ -413,10 +417,10 @@
 }
 
 static void
-send_order (LnWeightOrders *orders, const LcWeightsAction *action, LbTime now)
+send_weights_order (LnWeightOrders *orders, const LcWeightsAction *action, LbTime now)
 {
   Engine *engine = find_engine (orders, action->endpoint);
-  const LhHandlers handlers = { .on_done = on_order_answered };
+  const LhHandlers handlers = { .on_done = on_weights_order_answered };
   LhRequest request = { .idle_timeout = RESPONSE_TIMEOUT };
   LcOutgoingRequest outgoing;
   LnWeightsOrder order = { .endpoint = action->endpoint,
@@ -436,7 +440,7 @@
   orders->context->dialect->write_order (&order, &outgoing);
   if (engine->order_fetch)
     lh_fetch_cancel (engine->order_fetch);
-  publish_engine_state (engine);
+  report_engine_state (engine);
   lb_log (LB_LOG_INFO, "weights_order", LB_TEXT ("endpoint", engine->name),
           LB_TEXT ("model", engine->model), LB_INT ("version", order.version),
           LB_INT ("fence", order.fence), LB_INT ("orders_before", order.orders_before));
@@ -447,7 +451,7 @@
 
 /* Sends the orders that LcWeights decides for the model. Returns true if a load was ordered. */
 static bool
-order_model_loads (Model *model, LbTime now)
+order_weight_loads_of_model (Model *model, LbTime now)
 {
   const LnDutyLease *lease = model->orders->lease;
   LbLink *link;
@@ -461,7 +465,7 @@
     {
       LcWeightsAction *action = LB_CONTAINER (link, LcWeightsAction, link);
       if (action->type == LC_WEIGHTS_ORDER_LOAD)
-        send_order (model->orders, action, now);
+        send_weights_order (model->orders, action, now);
       has_ordered |= action->type == LC_WEIGHTS_ORDER_LOAD;
       free (action);
     }
@@ -471,7 +475,7 @@
 /* Orders loads one by one, each for the model that needs a load most, up to the limit of concurrent
  * loads. */
 static void
-order_loads (LnWeightOrders *orders, LbTime now)
+order_weight_loads (LnWeightOrders *orders, LbTime now)
 {
   size_t n = orders->models.length;
   LcSwapCandidate *candidates = LB_NEW_ARRAY (LcSwapCandidate, n + 1);
@@ -490,7 +494,7 @@
     {
       LcWeightsStatus *status = &candidates[next].status;
       lc_weights_set_swap_limit (models[next]->weights, (int64_t)status->swapping + 1);
-      candidates[next].blocked = !order_model_loads (models[next], now);
+      candidates[next].blocked = !order_weight_loads_of_model (models[next], now);
       swapping += !candidates[next].blocked;
       lc_weights_status (models[next]->weights, now, status);
     }
@@ -502,7 +506,7 @@
  * an engine in a swap (one that loads other weights) is queried. An engine whose count of accepted
  * orders is not known is queried too, since each order states the count before it. */
 static bool
-needs_state_query (const Engine *engine)
+needs_engine_state_query (const Engine *engine)
 {
   return engine->ordered_version != 0 || engine->orders_accepted < 0;
 }
@@ -515,9 +519,9 @@
   ln_duty_lease_tick (orders->lease, orders->all_check_fences, now);
   if (!ln_duty_lease_is_held (orders->lease))
     return;
-  order_loads (orders, now);
+  order_weight_loads (orders, now);
   for (Engine *engine = orders->engines; engine; engine = engine->hh.next)
-    if (needs_state_query (engine) && !engine->order_fetch && !engine->query_fetch
+    if (needs_engine_state_query (engine) && !engine->order_fetch && !engine->query_fetch
         && now >= engine->next_query_at)
       query_engine_state (engine, now);
 }
