--- a/packages/node/src/duties/ln-duties.c
+++ b/packages/node/src/duties/ln-duties.c
@@ -16,8 +16,8 @@
 #include <event2/event.h>
 #include <stdlib.h>
 
-#define TICK_PERIOD (100 * LB_MSEC)
-#define DUTY_NAME "platform"
+#define DUTIES_TICK_PERIOD (100 * LB_MSEC)
+#define LEASE_DUTY_NAME "platform"
 /* Maximum time that a draining process delays its exit until its usage counts are written. If the
  * store is reachable, writing the counts takes less time. */
 #define MAX_DRAIN_TIME (7 * LB_SEC)
@@ -41,7 +41,7 @@
 } Duties;
 
 static void
-post_duty_if_changed (Duties *duties, bool held)
+post_platform_duty_if_changed (Duties *duties, bool held)
 {
   LnDutyMessage message
       = { .base = LN_MESSAGE (LN_DUTY), .duty = LN_DUTY_PLATFORM_CALLS, .held = held };
@@ -53,7 +53,7 @@
 }
 
 static void
-on_lease_changed (LbTime now, void *user)
+on_duties_lease_changed (LbTime now, void *user)
 {
   (void)now;
   Duties *duties = user;
@@ -63,7 +63,7 @@
     ln_usage_reporter_set_lease_held (duties->usage_reporter, held);
   if (duties->scaler)
     ln_scaler_set_lease_held (duties->scaler, held);
-  post_duty_if_changed (duties, held);
+  post_platform_duty_if_changed (duties, held);
 }
 
 static void
@@ -86,7 +86,7 @@
 }
 
 static void
-update_members (Duties *duties, const LnMembersMessage *message)
+apply_members_message (Duties *duties, const LnMembersMessage *message)
 {
   duties->n_members = message->n_members;
   ln_true_time_set_members (duties->true_time, message);
@@ -112,7 +112,7 @@
   const LnRequestStartedMessage *started = (const LnRequestStartedMessage *)message;
 
   if (message->type == LN_MEMBERS)
-    update_members (duties, (const LnMembersMessage *)message);
+    apply_members_message (duties, (const LnMembersMessage *)message);
   else if (message->type == LN_REQUEST_STARTED && duties->usage_rows)
     ln_usage_rows_count_request (duties->usage_rows, started->organisation,
                                  ln_true_time_to_unix_ms (duties->true_time, started->at));
@@ -181,7 +181,7 @@
 LnTask *
 ln_duties_task_new (LnContext *context)
 {
-  const struct timeval tick = lb_time_to_timeval (TICK_PERIOD);
+  const struct timeval tick = lb_time_to_timeval (DUTIES_TICK_PERIOD);
   bool reports_usage = is_duty_configured (context, LN_PLATFORM_USAGE);
   bool scales
       = is_duty_configured (context, LN_PLATFORM_SCALE) && lb_switch_is_on (LB_SWITCH_SCALING);
@@ -191,9 +191,9 @@
   duties->task.hub = context->hub;
   duties->context = context;
   duties->true_time = ln_true_time_new (context);
-  duties->lease
-      = ln_duty_lease_new (context, DUTY_NAME, context->settings->duties.platform_checks_fence,
-                           on_lease_changed, duties);
+  duties->lease = ln_duty_lease_new (context, LEASE_DUTY_NAME,
+                                     context->settings->duties.platform_checks_fence,
+                                     on_duties_lease_changed, duties);
   if (reports_usage)
     {
       duties->usage_rows
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -77,7 +77,7 @@
 static void execute_lease_actions (LnDutyLease *lease, LbList *actions);
 
 static void
-on_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_lease_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   LnDutyLease *lease = user;
   LbList actions;
@@ -88,7 +88,7 @@
 }
 
 static void
-on_row_written (LbErrorCode error, const LpRow *row, void *user)
+on_lease_row_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   LnDutyLease *lease = user;
@@ -100,7 +100,7 @@
 }
 
 static void
-notify_holder_change (LnDutyLease *lease, const LcLeaseAction *action)
+notify_lease_gained_or_lost (LnDutyLease *lease, const LcLeaseAction *action)
 {
   bool gained = action->type == LC_LEASE_GAINED;
 
@@ -121,14 +121,14 @@
       switch (action->type)
         {
         case LC_LEASE_READ:
-          platform->klass->get (platform, lease->key, on_row_read, lease);
+          platform->klass->get (platform, lease->key, on_lease_row_read, lease);
           break;
         case LC_LEASE_WRITE:
-          ln_lease_write_row (platform, lease->key, "", action, on_row_written, lease);
+          ln_lease_write_row (platform, lease->key, "", action, on_lease_row_written, lease);
           break;
         case LC_LEASE_GAINED:
         case LC_LEASE_LOST:
-          notify_holder_change (lease, action);
+          notify_lease_gained_or_lost (lease, action);
           break;
         }
       free (action);
@@ -136,7 +136,7 @@
 }
 
 static bool
-can_hold_lease (const LnMember *member)
+can_instance_hold_lease (const LnMember *member)
 {
   return member->alive && member->confirmed && !member->draining && !member->cut;
 }
@@ -144,14 +144,14 @@
 /* Returns the number of candidates added. Always includes this instance, so that a holder that
  * briefly cannot reach the store directly keeps the lease. */
 static size_t
-add_candidates (const LnMembersMessage *members, LcDutyCandidate *candidates)
+add_lease_candidates (const LnMembersMessage *members, LcDutyCandidate *candidates)
 {
   size_t n = 0;
 
   for (size_t i = 0; i < members->n_members; i++)
     {
       const LnMember *member = &members->members[i];
-      if (!can_hold_lease (member) && !member->is_self)
+      if (!can_instance_hold_lease (member) && !member->is_self)
         continue;
       LB_COPY (candidates[n].name, member->name);
       candidates[n++].strength = member->strength;
@@ -165,7 +165,7 @@
 ln_duty_lease_set_members (LnDutyLease *lease, const LnMembersMessage *members)
 {
   LcDutyCandidate *candidates = LB_NEW_ARRAY (LcDutyCandidate, members->n_members + 1);
-  size_t n = add_candidates (members, candidates);
+  size_t n = add_lease_candidates (members, candidates);
   size_t rank = lc_duty_rank (lease->duty, lease->context->instance, candidates, n);
 
   lc_lease_set_claim_rank (lease->lease, rank < MAX_CANDIDATES ? (int)rank : -1);
@@ -176,7 +176,7 @@
 }
 
 static void
-detect_ended_holder (LnDutyLease *lease, bool all_check_fences, LbTime now)
+detect_ended_lease_holder (LnDutyLease *lease, bool all_check_fences, LbTime now)
 {
   const LcLeaseRow *row = lc_lease_row (lease->lease);
 
@@ -201,7 +201,7 @@
   LbList actions;
 
   if (ln_duty_lease_is_candidate (lease))
-    detect_ended_holder (lease, all_check_fences, now);
+    detect_ended_lease_holder (lease, all_check_fences, now);
   lb_list_init (&actions);
   lc_lease_tick (lease->lease, now, lb_clock_boottime (), &actions);
   execute_lease_actions (lease, &actions);
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -26,7 +26,8 @@
 {
   LnScaler *scaler;
   LcScalingOrder order;
-  int64_t duty_epoch; /* epoch in which the order was sent; outcomes in later epochs are ignored */
+  int64_t duty_epoch; /* value of LnScaler.duty_epoch when the order was sent; the outcome is
+                         ignored if the value has changed since */
 } OrderCall;
 
 LnScaler *
@@ -80,7 +81,7 @@
 }
 
 static LcScalingOutcome
-convert_to_scaling_outcome (LnDutyOutcome outcome)
+duty_outcome_to_scaling_outcome (LnDutyOutcome outcome)
 {
   switch (outcome)
     {
@@ -95,8 +96,8 @@
   return LC_SCALING_REFUSED;
 }
 
-/* Requests a read of the lease after a refusal, which may mean that another instance holds the
- * lease now and has a higher fencing number. */
+/* Requests a read of the lease's row if the platform refused the order, which may mean that another
+ * instance holds the lease now and has a higher fencing number. */
 static void
 on_scaling_order_answered (LnDutyOutcome outcome, void *user)
 {
@@ -107,8 +108,8 @@
   if (outcome == LN_DUTY_REFUSED)
     ln_duty_lease_request_read (scaler->lease, now);
   if (call->duty_epoch == scaler->duty_epoch)
-    lc_scaling_finish_order (scaler->scaling, &call->order, convert_to_scaling_outcome (outcome),
-                             now);
+    lc_scaling_finish_order (scaler->scaling, &call->order,
+                             duty_outcome_to_scaling_outcome (outcome), now);
   free (call);
 }
 
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -39,17 +39,18 @@
   LbList calls; /* LnPlatformCall in progress */
 };
 
-/* Action of LcUsageReports whose store or platform calls are in progress. */
+/* An action that LcUsageReports requested, and whose store or platform calls are in progress. */
 typedef struct
 {
   LnUsageReporter *reporter;
-  int64_t duty_epoch; /* epoch in which the action started; results in a later epoch are ignored */
-  int64_t window;     /* number of the time window of the action */
+  int64_t duty_epoch;     /* how often this instance had gained the lease when the action started;
+                             results that arrive after the loss of the lease are ignored */
+  int64_t window;         /* number of the time window of the action */
   size_t n_pending_lists; /* number of list calls in progress */
   bool has_failed;        /* a list call failed */
   LcUsageCounts *counts;  /* sum of the listed rows; NULL unless the action is LC_USAGE_SUM_ROWS */
   char *text;             /* text of the action: the report's counts as JSON; NULL: none */
-} PendingAction;
+} UsageActionInProgress;
 
 static LbMetric metric_sent
     = LB_COUNTER_INIT ("lentilspindle_usage_reports_total",
@@ -96,10 +97,10 @@
     lc_usage_reports_end_duty (reporter->reports);
 }
 
-static PendingAction *
-pending_action_new (LnUsageReporter *reporter, const LcUsageAction *action)
+static UsageActionInProgress *
+usage_action_in_progress_new (LnUsageReporter *reporter, const LcUsageAction *action)
 {
-  PendingAction *pending = LB_NEW (PendingAction);
+  UsageActionInProgress *pending = LB_NEW (UsageActionInProgress);
 
   pending->reporter = reporter;
   pending->duty_epoch = lc_usage_reports_duty_epoch (reporter->reports);
@@ -109,7 +110,7 @@
 }
 
 static void
-pending_action_free (PendingAction *pending)
+usage_action_in_progress_free (UsageActionInProgress *pending)
 {
   lc_usage_counts_free (pending->counts);
   free (pending->text);
@@ -117,16 +118,18 @@
 }
 
 static bool
-is_duty_epoch_current (const PendingAction *pending)
+is_lease_held_since_action_start (const UsageActionInProgress *pending)
 {
   return pending->duty_epoch == lc_usage_reports_duty_epoch (pending->reporter->reports);
 }
 
-/* Logs the error, and records a store failure unless the write's condition failed or its answer was
- * lost: neither implies that other instances' rows are late. If the store is unreachable, list
- * calls fail as well, and their errors are recorded. */
+/* Logs a failed store call. Also records a store failure, after which the summing of rows waits for
+ * rows that other instances could not write. A failed condition or a lost answer of a write is not
+ * recorded: if the store is unreachable, list calls fail as well. */
 static void
-record_store_error (const PendingAction *pending, LbErrorCode error, const char *step_name)
+log_and_record_store_error (const UsageActionInProgress *pending,
+                            LbErrorCode error,
+                            const char *step_name)
 {
   if (error == LB_OK)
     return;
@@ -139,7 +142,7 @@
 /* --- reading the reports that earlier lease holders recorded --- */
 
 static void
-add_recorded_report (PendingAction *pending, const LpRow *row)
+add_report_row (UsageActionInProgress *pending, const LpRow *row)
 {
   struct json_object *object = row->value ? json_tokener_parse (row->value) : NULL;
   const char *counts = lb_json_text (object, "counts", NULL);
@@ -154,67 +157,68 @@
 }
 
 static void
-finish_report_list (PendingAction *pending)
+finish_action_if_all_lists_completed (UsageActionInProgress *pending)
 {
   if (--pending->n_pending_lists > 0)
     return;
-  if (is_duty_epoch_current (pending))
+  if (is_lease_held_since_action_start (pending))
     lc_usage_reports_read_reports_completed (pending->reporter->reports, !pending->has_failed,
                                              lb_clock_monotonic ());
-  pending_action_free (pending);
+  usage_action_in_progress_free (pending);
 }
 
 static void
-on_reports_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
+on_report_rows_listed (
+    LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
-  PendingAction *pending = user;
+  UsageActionInProgress *pending = user;
 
-  record_store_error (pending, error, "read");
+  log_and_record_store_error (pending, error, "read");
   pending->has_failed |= error != LB_OK;
-  for (size_t i = 0; i < n_rows && is_duty_epoch_current (pending); i++)
-    add_recorded_report (pending, &rows[i]);
-  finish_report_list (pending);
+  for (size_t i = 0; i < n_rows && is_lease_held_since_action_start (pending); i++)
+    add_report_row (pending, &rows[i]);
+  finish_action_if_all_lists_completed (pending);
 }
 
 static void
-on_first_row_listed (
+on_oldest_usage_row_listed (
     LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
-  PendingAction *pending = user;
+  UsageActionInProgress *pending = user;
 
-  record_store_error (pending, error, "read");
+  log_and_record_store_error (pending, error, "read");
   pending->has_failed |= error != LB_OK;
-  if (n_rows > 0 && is_duty_epoch_current (pending)
+  if (n_rows > 0 && is_lease_held_since_action_start (pending)
       && ln_usage_parse_window_from_key (rows[0].key) >= 0)
     lc_usage_reports_add_row_window (pending->reporter->reports,
                                      ln_usage_parse_window_from_key (rows[0].key));
-  finish_report_list (pending);
+  finish_action_if_all_lists_completed (pending);
 }
 
-/* Lists the recorded reports, and the first row of each partition. Rows are sorted by window, so
- * the first row belongs to the partition's oldest window. */
+/* Lists the reports in the store, and the first usage row of each partition. Usage rows are sorted
+ * by window, so the first row belongs to the partition's oldest window. */
 static void
-list_recorded_reports (LnUsageReporter *reporter, const LcUsageAction *action)
+list_report_rows (LnUsageReporter *reporter, const LcUsageAction *action)
 {
   LpPlatform *platform = reporter->context->platform;
-  PendingAction *pending = pending_action_new (reporter, action);
+  UsageActionInProgress *pending = usage_action_in_progress_new (reporter, action);
   char prefix[LN_USAGE_KEY_SIZE];
 
   pending->n_pending_lists = 1 + LN_USAGE_N_PARTITIONS;
-  platform->klass->list (platform, REPORT_PREFIX, NULL, 0, on_reports_listed, pending);
+  platform->klass->list (platform, REPORT_PREFIX, NULL, 0, on_report_rows_listed, pending);
   for (size_t partition = 0; partition < LN_USAGE_N_PARTITIONS; partition++)
     {
       ln_usage_format_partition_prefix (partition, prefix);
-      platform->klass->list (platform, prefix, NULL, 1, on_first_row_listed, pending);
+      platform->klass->list (platform, prefix, NULL, 1, on_oldest_usage_row_listed, pending);
     }
 }
 
 /* --- summing the rows of a window --- */
 
 static void
-add_incarnation_counts (LcUsageCounts *total, const LpRow *rows, size_t n_rows)
+add_largest_counts_of_incarnation (LcUsageCounts *total, const LpRow *rows, size_t n_rows)
 {
   LcUsageCounts *counts = lc_usage_counts_new ();
   LbError error = { 0 };
@@ -235,7 +239,7 @@
 /* Returns the number of rows at the start of the list that belong to the first row's incarnation.
  * Rows of one incarnation are adjacent. */
 static size_t
-count_incarnation_rows (const LpRow *rows, size_t n_rows)
+count_rows_of_first_incarnation (const LpRow *rows, size_t n_rows)
 {
   size_t length = ln_usage_get_incarnation_prefix_length (rows[0].key);
   size_t n = 1;
@@ -247,34 +251,34 @@
 }
 
 static void
-on_window_rows_listed (
+on_usage_rows_of_window_listed (
     LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
-  PendingAction *pending = user;
+  UsageActionInProgress *pending = user;
 
-  record_store_error (pending, error, "count");
+  log_and_record_store_error (pending, error, "count");
   pending->has_failed |= error != LB_OK;
   for (size_t i = 0; i < n_rows;)
     {
-      size_t n = count_incarnation_rows (rows + i, n_rows - i);
-      add_incarnation_counts (pending->counts, rows + i, n);
+      size_t n = count_rows_of_first_incarnation (rows + i, n_rows - i);
+      add_largest_counts_of_incarnation (pending->counts, rows + i, n);
       i += n;
     }
   if (--pending->n_pending_lists > 0)
     return;
-  if (is_duty_epoch_current (pending))
+  if (is_lease_held_since_action_start (pending))
     lc_usage_reports_sum_rows_completed (pending->reporter->reports, pending->window,
                                          pending->has_failed ? NULL : pending->counts,
                                          lb_clock_monotonic ());
-  pending_action_free (pending);
+  usage_action_in_progress_free (pending);
 }
 
 static void
-sum_window_rows (LnUsageReporter *reporter, const LcUsageAction *action)
+sum_usage_rows_of_window (LnUsageReporter *reporter, const LcUsageAction *action)
 {
   LpPlatform *platform = reporter->context->platform;
-  PendingAction *pending = pending_action_new (reporter, action);
+  UsageActionInProgress *pending = usage_action_in_progress_new (reporter, action);
   char prefix[LN_USAGE_KEY_SIZE];
 
   pending->counts = lc_usage_counts_new ();
@@ -282,7 +286,7 @@
   for (size_t partition = 0; partition < LN_USAGE_N_PARTITIONS; partition++)
     {
       ln_usage_format_window_prefix (partition, action->window, prefix);
-      platform->klass->list (platform, prefix, NULL, 0, on_window_rows_listed, pending);
+      platform->klass->list (platform, prefix, NULL, 0, on_usage_rows_of_window_listed, pending);
     }
 }
 
@@ -295,7 +299,7 @@
 }
 
 static char *
-report_to_text (const char *counts, bool is_sent)
+report_row_to_text (const char *counts, bool is_sent)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -304,50 +308,50 @@
   return lb_json_serialize_and_release (object, JSON_C_TO_STRING_PLAIN);
 }
 
-/* Handles the report that the store already had for the window. Another lease holder recorded the
- * report, or this instance did by a write whose answer was lost. */
+/* Uses the report that the store already had for the window: another lease holder wrote it, or this
+ * instance did by a write whose answer was lost. */
 static void
-on_existing_report_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_existing_report_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
-  PendingAction *pending = user;
+  UsageActionInProgress *pending = user;
   struct json_object *object
       = error == LB_OK && n_rows > 0 && rows[0].value ? json_tokener_parse (rows[0].value) : NULL;
 
-  record_store_error (pending, error, "decide");
-  if (is_duty_epoch_current (pending))
+  log_and_record_store_error (pending, error, "decide");
+  if (is_lease_held_since_action_start (pending))
     lc_usage_reports_record_report_completed (pending->reporter->reports, pending->window, false,
                                               lb_json_text (object, "counts", NULL),
                                               lb_clock_monotonic ());
   json_object_put (object);
-  pending_action_free (pending);
+  usage_action_in_progress_free (pending);
 }
 
 static void
-on_report_recorded (LbErrorCode error, const LpRow *row, void *user)
+on_report_row_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
-  PendingAction *pending = user;
+  UsageActionInProgress *pending = user;
   LpPlatform *platform = pending->reporter->context->platform;
   char key[LN_USAGE_KEY_SIZE];
 
-  record_store_error (pending, error, "decide");
+  log_and_record_store_error (pending, error, "decide");
   if (error == LB_ERROR_CONDITION_FAILED)
     {
       format_report_key (pending->window, key);
-      platform->klass->get (platform, key, on_existing_report_read, pending);
+      platform->klass->get (platform, key, on_existing_report_row_read, pending);
       return;
     }
-  if (is_duty_epoch_current (pending))
+  if (is_lease_held_since_action_start (pending))
     lc_usage_reports_record_report_completed (pending->reporter->reports, pending->window,
                                               error == LB_OK, NULL, lb_clock_monotonic ());
-  pending_action_free (pending);
+  usage_action_in_progress_free (pending);
 }
 
 static void
-record_report (LnUsageReporter *reporter, const LcUsageAction *action)
+write_report_row (LnUsageReporter *reporter, const LcUsageAction *action)
 {
   LpPlatform *platform = reporter->context->platform;
-  char *text = report_to_text (action->text, false);
+  char *text = report_row_to_text (action->text, false);
   char key[LN_USAGE_KEY_SIZE];
   const LpCondition condition = { .key = key, .version = 0 };
   const LpPut put = { .key = key, .value = text };
@@ -357,15 +361,15 @@
   format_report_key (action->window, key);
   lb_log (LB_LOG_INFO, "usage_decided", LB_INT ("window", action->window),
           LB_JSON ("counts", action->text));
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_report_recorded,
-                             pending_action_new (reporter, action));
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_report_row_written,
+                             usage_action_in_progress_new (reporter, action));
   free (text);
 }
 
 /* --- sending a report to the platform --- */
 
 static LcUsageSendResult
-convert_send_outcome (LnDutyOutcome outcome)
+duty_outcome_to_usage_send_result (LnDutyOutcome outcome)
 {
   switch (outcome)
     {
@@ -381,9 +385,9 @@
 }
 
 static void
-on_report_sent (LnDutyOutcome outcome, void *user)
+on_usage_report_sent (LnDutyOutcome outcome, void *user)
 {
-  PendingAction *pending = user;
+  UsageActionInProgress *pending = user;
   LnUsageReporter *reporter = pending->reporter;
   LbTime now = lb_clock_monotonic ();
 
@@ -391,14 +395,14 @@
     lb_metric_add (&metric_sent, 1);
   if (outcome == LN_DUTY_REFUSED)
     ln_duty_lease_request_read (reporter->lease, now);
-  if (is_duty_epoch_current (pending))
+  if (is_lease_held_since_action_start (pending))
     lc_usage_reports_send_report_completed (reporter->reports, pending->window,
-                                            convert_send_outcome (outcome), now);
-  pending_action_free (pending);
+                                            duty_outcome_to_usage_send_result (outcome), now);
+  usage_action_in_progress_free (pending);
 }
 
 static void
-send_report (LnUsageReporter *reporter, const LcUsageAction *action)
+send_usage_report (LnUsageReporter *reporter, const LcUsageAction *action)
 {
   const LnContext *context = reporter->context;
   const LnDutyHolder holder
@@ -408,32 +412,32 @@
   context->dialect->write_usage (&holder, action->window, action->text, &outgoing);
   lb_log (LB_LOG_INFO, "usage_report", LB_INT ("window", action->window),
           LB_INT ("fence", holder.fence));
-  ln_platform_call_start (context, &reporter->calls, &outgoing, on_report_sent,
-                          pending_action_new (reporter, action));
+  ln_platform_call_start (context, &reporter->calls, &outgoing, on_usage_report_sent,
+                          usage_action_in_progress_new (reporter, action));
   lc_outgoing_request_clear (&outgoing);
 }
 
 /* --- closing a window whose report was sent --- */
 
-/* Only logs the failure: rows left in the store are not counted again, since their window's report
- * is recorded. */
+/* Only logs that usage rows could not be removed: rows left in the store are not counted again,
+ * since the store has their window's report. */
 static void
-log_rows_not_removed (LbErrorCode error)
+log_usage_rows_not_removed (LbErrorCode error)
 {
   lb_log (LB_LOG_INFO, "usage_rows_not_removed", LB_TEXT ("error", lb_error_name (error)));
 }
 
 static void
-on_rows_removed (LbErrorCode error, const LpRow *row, void *user)
+on_usage_rows_removed (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   (void)user;
   if (error != LB_OK)
-    log_rows_not_removed (error);
+    log_usage_rows_not_removed (error);
 }
 
 static void
-on_rows_to_remove_listed (
+on_usage_rows_to_remove_listed (
     LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
@@ -443,17 +447,17 @@
   size_t n = n_rows < MAX_REMOVED_ROWS_PER_PARTITION ? n_rows : MAX_REMOVED_ROWS_PER_PARTITION;
 
   if (error != LB_OK)
-    log_rows_not_removed (error);
+    log_usage_rows_not_removed (error);
   for (size_t i = 0; i < n; i++)
     puts[i] = (LpPut){ .key = rows[i].key };
   const LpTransaction transaction = { .token = "", .puts = puts, .n_puts = n };
   if (n > 0)
-    platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_rows_removed,
+    platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_usage_rows_removed,
                                reporter);
 }
 
 static void
-remove_window_rows (LnUsageReporter *reporter, int64_t window)
+remove_usage_rows_of_window (LnUsageReporter *reporter, int64_t window)
 {
   LpPlatform *platform = reporter->context->platform;
   char prefix[LN_USAGE_KEY_SIZE];
@@ -462,28 +466,28 @@
     {
       ln_usage_format_window_prefix (partition, window, prefix);
       platform->klass->list (platform, prefix, NULL, MAX_REMOVED_ROWS_PER_PARTITION,
-                             on_rows_to_remove_listed, reporter);
+                             on_usage_rows_to_remove_listed, reporter);
     }
 }
 
 static void
-on_window_closed (LbErrorCode error, const LpRow *row, void *user)
+on_report_row_marked_sent (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
-  PendingAction *pending = user;
+  UsageActionInProgress *pending = user;
 
-  record_store_error (pending, error, "close");
-  if (is_duty_epoch_current (pending))
+  log_and_record_store_error (pending, error, "close");
+  if (is_lease_held_since_action_start (pending))
     lc_usage_reports_close_window_completed (pending->reporter->reports, pending->window,
                                              error == LB_OK, lb_clock_monotonic ());
-  pending_action_free (pending);
+  usage_action_in_progress_free (pending);
 }
 
 static void
-close_window (LnUsageReporter *reporter, const LcUsageAction *action)
+mark_report_sent_and_remove_usage_rows (LnUsageReporter *reporter, const LcUsageAction *action)
 {
   LpPlatform *platform = reporter->context->platform;
-  char *text = report_to_text (action->text, true);
+  char *text = report_row_to_text (action->text, true);
   char key[LN_USAGE_KEY_SIZE];
   char oldest_key[LN_USAGE_KEY_SIZE];
   const LpPut puts[] = { { .key = key, .value = text }, { .key = oldest_key } };
@@ -491,9 +495,9 @@
 
   format_report_key (action->window, key);
   format_report_key (action->window - N_KEPT_REPORTS, oldest_key);
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_window_closed,
-                             pending_action_new (reporter, action));
-  remove_window_rows (reporter, action->window);
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_STATUS, on_report_row_marked_sent,
+                             usage_action_in_progress_new (reporter, action));
+  remove_usage_rows_of_window (reporter, action->window);
   free (text);
 }
 
@@ -503,19 +507,19 @@
   switch (action->type)
     {
     case LC_USAGE_READ_REPORTS:
-      list_recorded_reports (reporter, action);
+      list_report_rows (reporter, action);
       break;
     case LC_USAGE_SUM_ROWS:
-      sum_window_rows (reporter, action);
+      sum_usage_rows_of_window (reporter, action);
       break;
     case LC_USAGE_RECORD_REPORT:
-      record_report (reporter, action);
+      write_report_row (reporter, action);
       break;
     case LC_USAGE_SEND_REPORT:
-      send_report (reporter, action);
+      send_usage_report (reporter, action);
       break;
     case LC_USAGE_CLOSE_WINDOW:
-      close_window (reporter, action);
+      mark_report_sent_and_remove_usage_rows (reporter, action);
       break;
     }
 }
--- a/packages/node/src/duties/ln-usage-rows.c
+++ b/packages/node/src/duties/ln-usage-rows.c
@@ -16,8 +16,8 @@
 /* Minimum time between two writes of a window's row. Requests that a killed instance started since
  * its last write are not counted. The time grows with the number of instances, which bounds the
  * total write rate of all instances. */
-#define WRITE_PERIOD (200 * LB_MSEC)
-#define WRITE_PERIOD_PER_INSTANCE (4 * LB_MSEC)
+#define MIN_USAGE_WRITE_PERIOD (200 * LB_MSEC)
+#define USAGE_WRITE_PERIOD_PER_INSTANCE (4 * LB_MSEC)
 /* Number of windows whose counts are kept in memory; older windows are no longer written. */
 #define N_KEPT_WINDOWS 24
 
@@ -93,7 +93,7 @@
 }
 
 static void
-on_row_written (LbErrorCode error, const LpRow *row, void *user)
+on_usage_row_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   RowWrite *write = user;
@@ -112,7 +112,7 @@
  * effect after a later write and would then replace larger counts by smaller ones. So later rows
  * get a new key, and readers use the largest counts. */
 static void
-write_row (LnUsageRows *rows, const LcUsageRow *row)
+write_usage_row (LnUsageRows *rows, const LcUsageRow *row)
 {
   const LnContext *context = rows->context;
   LpPlatform *platform = context->platform;
@@ -127,19 +127,21 @@
                            (long long)rows->key_generation);
   const LpPut put = { .key = key, .value = row->text };
   const LpTransaction transaction = { .token = "", .puts = &put, .n_puts = 1 };
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_row_written, write);
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_usage_row_written,
+                             write);
   free (key);
 }
 
 void
 ln_usage_rows_tick (LnUsageRows *rows, size_t n_instances, int64_t true_ms, LbTime now)
 {
-  LbTime period = lb_time_later (WRITE_PERIOD, (LbTime)n_instances * WRITE_PERIOD_PER_INSTANCE);
+  LbTime period = lb_time_later (MIN_USAGE_WRITE_PERIOD,
+                                 (LbTime)n_instances * USAGE_WRITE_PERIOD_PER_INSTANCE);
   LcUsageRow row;
 
   while (lc_usage_next_row (rows->usage, period, now, &row))
     {
-      write_row (rows, &row);
+      write_usage_row (rows, &row);
       free (row.text);
     }
   lc_usage_remove_windows_before (rows->usage, true_ms / rows->window_ms - N_KEPT_WINDOWS);
