--- a/packages/node/src/store/ln-platform-call.c
+++ b/packages/node/src/store/ln-platform-call.c
@@ -9,8 +9,8 @@
 
 #include <stdlib.h>
 
-/* A call without a response for this time is treated as lost; 10 times the duration of a call on a
- * slow platform. */
+/* A call to the platform without a response for this time counts as lost; 10 times the duration of
+ * a call on a slow platform. */
 #define RESPONSE_TIMEOUT (2 * LB_SEC)
 #define CONNECT_TIMEOUT (500 * LB_MSEC)
 
@@ -27,7 +27,7 @@
 } Call;
 
 static void
-finish_call (Call *call, LnDutyOutcome outcome)
+finish_platform_call (Call *call, LnDutyOutcome outcome)
 {
   lb_list_remove (call->calls, &call->link);
   call->done (outcome, call->user);
@@ -35,7 +35,7 @@
 }
 
 static LnDutyOutcome
-classify_call_result (const Call *call, const LhResult *result)
+classify_platform_call_result (const Call *call, const LhResult *result)
 {
   if (result->failure == LB_OK)
     return call->context->dialect->classify_duty_reply (result->status);
@@ -43,7 +43,7 @@
 }
 
 static void
-on_call_done (LhFetch *fetch, const LhResult *result, void *user)
+on_platform_call_done (LhFetch *fetch, const LhResult *result, void *user)
 {
   (void)fetch;
   Call *call = user;
@@ -52,7 +52,7 @@
           "platform_called", LB_TEXT ("path", call->path), LB_INT ("status", result->status),
           LB_TEXT ("error", lb_error_name (result->failure)),
           LB_INT ("took_us", lb_clock_monotonic () - call->sent_at));
-  finish_call (call, classify_call_result (call, result));
+  finish_platform_call (call, classify_platform_call_result (call, result));
 }
 
 /* Opens a new connection for each call: calls are seconds apart, and a connection that was idle for
@@ -64,7 +64,7 @@
                         LnPlatformCallDone done,
                         void *user)
 {
-  const LhHandlers handlers = { .on_done = on_call_done };
+  const LhHandlers handlers = { .on_done = on_platform_call_done };
   const LhRequest request = { .address = context->settings->duties.address,
                               .connect_timeout = CONNECT_TIMEOUT,
                               .idle_timeout = RESPONSE_TIMEOUT,
@@ -81,7 +81,7 @@
   if (call->fetch)
     return;
   lb_log_error (LB_LOG_WARNING, "platform_not_called", &error);
-  finish_call (call, LN_DUTY_BUSY);
+  finish_platform_call (call, LN_DUTY_BUSY);
 }
 
 void
@@ -90,6 +90,6 @@
   LB_LIST_FOREACH (calls, Call, link, call)
   {
     lh_fetch_cancel (call->fetch);
-    finish_call (call, LN_DUTY_NO_ANSWER);
+    finish_platform_call (call, LN_DUTY_NO_ANSWER);
   }
 }
--- a/packages/node/src/store/ln-platform-call.h
+++ b/packages/node/src/store/ln-platform-call.h
@@ -6,9 +6,10 @@
 #include "ln-context.h"
 #include "ln-dialect.h"
 
-/* Calls to the platform's duty API. Each call is sent once, without retries. */
+/* Calls to the platform's API for usage reports and orders of endpoints. Each call is sent once,
+ * without retries. */
 
-/* Called exactly once for each call, with the outcome. */
+/* Called exactly once for each call to the platform, with the call's outcome. */
 typedef void (*LnPlatformCallDone) (LnDutyOutcome outcome, void *user);
 
 /* Sends the call and keeps it in the list calls until done is called. */
--- a/packages/node/src/store/ln-row-cache.c
+++ b/packages/node/src/store/ln-row-cache.c
@@ -16,15 +16,15 @@
   void *content;
   bool is_valid;
   LbError error;  /* why the row is malformed; set if is_valid is false */
-  bool is_listed; /* the current list contains the row */
+  bool is_listed; /* the list that is being read, or was read last, contains the row */
   UT_hash_handle hh;
-} Entry;
+} CachedRow;
 
 struct LnRowCache
 {
   const LnRowCacheClass *klass;
   void *user;
-  Entry *entries;
+  CachedRow *entries;
 };
 
 static LbMetric rows_parsed = LB_COUNTER_INIT ("lentilspindle_rows_total",
@@ -47,7 +47,7 @@
 }
 
 static void
-remove_entry (LnRowCache *cache, Entry *entry)
+remove_cached_row (LnRowCache *cache, CachedRow *entry)
 {
   HASH_DEL (cache->entries, entry);
   free (entry->key);
@@ -59,11 +59,11 @@
 void
 ln_row_cache_free (LnRowCache *cache)
 {
-  Entry *entry, *next;
+  CachedRow *entry, *next;
 
   HASH_ITER (hh, cache->entries, entry, next)
   {
-    remove_entry (cache, entry);
+    remove_cached_row (cache, entry);
   }
   free (cache);
 }
@@ -71,24 +71,24 @@
 void
 ln_row_cache_begin_list (LnRowCache *cache)
 {
-  for (Entry *entry = cache->entries; entry; entry = entry->hh.next)
+  for (CachedRow *entry = cache->entries; entry; entry = entry->hh.next)
     entry->is_listed = false;
 }
 
 void
 ln_row_cache_end_list (LnRowCache *cache)
 {
-  Entry *entry, *next;
+  CachedRow *entry, *next;
 
   HASH_ITER (hh, cache->entries, entry, next)
   {
     if (!entry->is_listed)
-      remove_entry (cache, entry);
+      remove_cached_row (cache, entry);
   }
 }
 
 static const char *
-skip_spaces_and_digits (const char *text)
+skip_spaces_and_number (const char *text)
 {
   while (isspace ((unsigned char)*text))
     text++;
@@ -106,12 +106,12 @@
 
   if (!counter || strncmp (before, after, length) != 0)
     return strcmp (before, after) == 0;
-  return strcmp (skip_spaces_and_digits (before + length), skip_spaces_and_digits (after + length))
+  return strcmp (skip_spaces_and_number (before + length), skip_spaces_and_number (after + length))
          == 0;
 }
 
 static void
-update_entry_from_row (LnRowCache *cache, Entry *entry, const LpRow *row)
+update_cached_row (LnRowCache *cache, CachedRow *entry, const LpRow *row)
 {
   const char *text = row->value ? row->value : "";
 
@@ -130,19 +130,19 @@
 const void *
 ln_row_cache_get_content (LnRowCache *cache, const LpRow *row, LbError *error)
 {
-  Entry *entry = NULL;
+  CachedRow *entry = NULL;
 
   HASH_FIND_STR (cache->entries, row->key, entry);
   if (!entry)
     {
-      entry = LB_NEW (Entry);
+      entry = LB_NEW (CachedRow);
       entry->key = lb_strdup (row->key);
       entry->content = lb_calloc (1, cache->klass->size);
       HASH_ADD_KEYPTR (hh, cache->entries, entry->key, strlen (entry->key), entry);
     }
   entry->is_listed = true;
   if (!entry->text || entry->version != row->version)
-    update_entry_from_row (cache, entry, row);
+    update_cached_row (cache, entry, row);
   else
     lb_metric_add (&rows_unchanged, 1);
   if (entry->is_valid)
--- a/packages/node/src/store/ln-unreadable-rows.c
+++ b/packages/node/src/store/ln-unreadable-rows.c
@@ -25,7 +25,7 @@
 }
 
 static void
-remove_row (LnUnreadableRows *rows, Row *row)
+forget_malformed_row (LnUnreadableRows *rows, Row *row)
 {
   HASH_DEL (rows->by_key, row);
   free (row->key);
@@ -39,7 +39,7 @@
 
   HASH_ITER (hh, rows->by_key, row, next)
   {
-    remove_row (rows, row);
+    forget_malformed_row (rows, row);
   }
   free (rows);
 }
@@ -75,6 +75,6 @@
   HASH_ITER (hh, rows->by_key, row, next)
   {
     if (!row->is_reported)
-      remove_row (rows, row);
+      forget_malformed_row (rows, row);
   }
 }
--- a/packages/node/src/store/ln-unwritten-rows.c
+++ b/packages/node/src/store/ln-unwritten-rows.c
@@ -7,8 +7,8 @@
 
 #include <stdlib.h>
 
-/* Maximum number of rows kept. While the store is unreachable, each endpoint that fails adds a row;
- * a site with 300 endpoints loses about 10 at once. */
+/* Maximum number of rows kept until they are written. While the store is unreachable, each endpoint
+ * that fails adds a row; a site with 300 endpoints loses about 10 at once. */
 #define MAX_UNWRITTEN_ROWS 64
 
 typedef struct
@@ -43,7 +43,7 @@
 }
 
 static void
-free_row (Row *row)
+free_unwritten_row (Row *row)
 {
   lb_list_remove (&row->owner->rows, &row->link);
   free (row->key);
@@ -57,20 +57,20 @@
 {
   LB_LIST_FOREACH (&rows->rows, Row, link, row)
   {
-    free_row (row);
+    free_unwritten_row (row);
   }
   free (rows);
 }
 
 static void
-on_row_written (LbErrorCode error, const LpRow *reply, void *user)
+on_unwritten_row_answered (LbErrorCode error, const LpRow *reply, void *user)
 {
   (void)reply;
   Row *row = user;
 
   if (error == LB_OK)
     {
-      free_row (row);
+      free_unwritten_row (row);
       return;
     }
   lb_log (LB_LOG_INFO, "row_not_written", LB_TEXT ("key", row->key),
@@ -86,19 +86,20 @@
   const LpTransaction transaction = { .token = row->token, .puts = &put, .n_puts = 1 };
 
   row->is_in_flight = true;
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_row_written, row);
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_LEDGER, on_unwritten_row_answered,
+                             row);
 }
 
 /* Drops the oldest row whose write is not in flight, as newer rows are more relevant. */
 static void
-drop_oldest_row (LnUnwrittenRows *rows)
+drop_oldest_row_not_in_flight (LnUnwrittenRows *rows)
 {
   LB_LIST_FOREACH (&rows->rows, Row, link, row)
   {
     if (row->is_in_flight)
       continue;
     lb_log (LB_LOG_WARNING, "row_dropped", LB_TEXT ("key", row->key));
-    free_row (row);
+    free_unwritten_row (row);
     return;
   }
 }
@@ -109,7 +110,7 @@
   Row *row = LB_NEW (Row);
 
   if (rows->rows.length >= MAX_UNWRITTEN_ROWS)
-    drop_oldest_row (rows);
+    drop_oldest_row_not_in_flight (rows);
   row->owner = rows;
   row->key = lb_strdup (key);
   row->text = text;
--- a/packages/node/src/task/ln-settings.c
+++ b/packages/node/src/task/ln-settings.c
@@ -194,7 +194,7 @@
 }
 
 static bool
-report_invalid_key (LbError *error, const char *path, const char *key, const char *expected)
+set_invalid_key_error (LbError *error, const char *path, const char *key, const char *expected)
 {
   char where[192];
 
@@ -234,49 +234,49 @@
 
 /* Checks addresses, names and dependent keys, which type and range of a key don't cover. */
 static bool
-validate_settings (const LnSettings *settings, const char *path, LbError *error)
+validate_addresses_and_dependent_keys (const LnSettings *settings, const char *path, LbError *error)
 {
   static const char address[] = "expected an address of the form IP:PORT";
   static const char reachable[] = "expected the address that others reach, not a wildcard";
 
   if (!is_address_with_port (settings->instance.caller_address))
-    return report_invalid_key (error, path, "instance.caller_address", address);
+    return set_invalid_key_error (error, path, "instance.caller_address", address);
   if (!is_address_with_port (settings->instance.peer_address))
-    return report_invalid_key (error, path, "instance.peer_address", address);
+    return set_invalid_key_error (error, path, "instance.peer_address", address);
   if (settings->instance.entry_address[0]
       && !is_address_with_port (settings->instance.entry_address))
-    return report_invalid_key (error, path, "instance.entry_address", address);
+    return set_invalid_key_error (error, path, "instance.entry_address", address);
   if (settings->platform.kind == LN_PLATFORM_SHARED
       && is_wildcard_address (settings->instance.caller_address))
-    return report_invalid_key (error, path, "instance.caller_address", reachable);
+    return set_invalid_key_error (error, path, "instance.caller_address", reachable);
   if (is_wildcard_address (settings->instance.peer_address))
-    return report_invalid_key (error, path, "instance.peer_address", reachable);
+    return set_invalid_key_error (error, path, "instance.peer_address", reachable);
   if (is_wildcard_address (settings->instance.entry_address))
-    return report_invalid_key (error, path, "instance.entry_address", reachable);
+    return set_invalid_key_error (error, path, "instance.entry_address", reachable);
   if (settings->instance.ready_address[0]
       && !is_address_with_port (settings->instance.ready_address))
-    return report_invalid_key (error, path, "instance.ready_address", address);
+    return set_invalid_key_error (error, path, "instance.ready_address", address);
   if (settings->instance.metrics_address[0]
       && !is_address_with_port (settings->instance.metrics_address))
-    return report_invalid_key (error, path, "instance.metrics_address", address);
+    return set_invalid_key_error (error, path, "instance.metrics_address", address);
   if (settings->platform.kind != LN_PLATFORM_MEMORY
       && !is_address_with_port (settings->platform.address))
-    return report_invalid_key (error, path, "platform.address", address);
+    return set_invalid_key_error (error, path, "platform.address", address);
   if (settings->duties.address[0] && !is_address_with_port (settings->duties.address))
-    return report_invalid_key (error, path, "duties.address", address);
+    return set_invalid_key_error (error, path, "duties.address", address);
   if (!is_known_routing_policy (settings->calls.policy))
-    return report_invalid_key (error, path, "calls.policy",
-                               "expected the name of a routing policy");
+    return set_invalid_key_error (error, path, "calls.policy",
+                                  "expected the name of a routing policy");
   for (size_t i = 0; i < settings->cluster.n_seeds; i++)
     if (!is_address_with_port (settings->cluster.seeds[i]))
-      return report_invalid_key (error, path, "cluster.seeds", address);
+      return set_invalid_key_error (error, path, "cluster.seeds", address);
   for (size_t i = 0; i < settings->measure.n_off; i++)
     if (!lb_switch_is_known (settings->measure.off[i]))
-      return report_invalid_key (error, path, "measure.off",
-                                 "expected names of mechanisms that can be disabled");
+      return set_invalid_key_error (error, path, "measure.off",
+                                    "expected names of mechanisms that can be disabled");
   if (settings->cluster.n_seeds > 0 && settings->cluster.key[0] == '\0')
-    return report_invalid_key (error, path, "cluster.key",
-                               "expected a shared key, since cluster.seeds is set");
+    return set_invalid_key_error (error, path, "cluster.key",
+                                  "expected a shared key, since cluster.seeds is set");
   return true;
 }
 
@@ -288,7 +288,7 @@
   if (!object)
     return false;
   bool ok = lb_settings_fill_struct (object, specs, settings, path, error)
-            && validate_settings (settings, path, error);
+            && validate_addresses_and_dependent_keys (settings, path, error);
   json_object_put (object);
   return ok;
 }
--- a/packages/node/src/task/ln-stall.c
+++ b/packages/node/src/task/ln-stall.c
@@ -59,7 +59,7 @@
 }
 
 static void
-start_cpu_timer (const LnStallDetector *detector)
+restart_cpu_time_limit (const LnStallDetector *detector)
 {
   const struct itimerval limit = { .it_value = lb_time_to_timeval (detector->cpu_limit) };
 
@@ -68,7 +68,7 @@
 }
 
 static void
-check_loop_delay (evutil_socket_t fd, short what, void *user)
+record_event_loop_delay (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -81,7 +81,7 @@
     lb_log (LB_LOG_WARNING, "loop_late", LB_INT ("late_us", delay),
             LB_TEXT ("before", current_activity));
   detector->expected_at = now + LOOP_CHECK_PERIOD;
-  start_cpu_timer (detector);
+  restart_cpu_time_limit (detector);
 }
 
 LnStallDetector *
@@ -94,9 +94,9 @@
   detector->cpu_limit = cpu_limit;
   detector->expected_at = lb_clock_monotonic () + LOOP_CHECK_PERIOD;
   sigaction (SIGPROF, &action, NULL);
-  detector->timer = event_new (base, -1, EV_PERSIST, check_loop_delay, detector);
+  detector->timer = event_new (base, -1, EV_PERSIST, record_event_loop_delay, detector);
   event_add (detector->timer, &period);
-  start_cpu_timer (detector);
+  restart_cpu_time_limit (detector);
   return detector;
 }
 
--- a/packages/node/src/task/ln-ticker.c
+++ b/packages/node/src/task/ln-ticker.c
@@ -29,7 +29,7 @@
 }
 
 static void
-start_tick_timer (LnTicker *ticker, LbTime now)
+schedule_next_tick (LnTicker *ticker, LbTime now)
 {
   const struct timeval interval = lb_time_to_timeval (
       uses_idle_interval (ticker, now) ? IDLE_TICK_INTERVAL : BUSY_TICK_INTERVAL);
@@ -38,14 +38,14 @@
 }
 
 static void
-run_due_calls (evutil_socket_t fd, short what, void *user)
+run_due_periodic_calls (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
   LnTicker *ticker = user;
   LbTime now = lb_clock_monotonic ();
 
-  start_tick_timer (ticker, now);
+  schedule_next_tick (ticker, now);
   LB_LIST_FOREACH (&ticker->calls, LnPeriodicCall, link, call)
   {
     if (call->due_at > now + DUE_TIME_TOLERANCE)
@@ -61,7 +61,7 @@
   LnTicker *ticker = LB_NEW (LnTicker);
 
   lb_list_init (&ticker->calls);
-  ticker->timer = event_new (base, -1, 0, run_due_calls, ticker);
+  ticker->timer = event_new (base, -1, 0, run_due_periodic_calls, ticker);
   return ticker;
 }
 
