--- a/packages/base/include/lb-switch.h
+++ b/packages/base/include/lb-switch.h
@@ -29,7 +29,7 @@
 
 const char *lb_switch_name (LbSwitch id);
 bool lb_switch_is_known (const char *name);
-/* Disables the optimisation with this name; an unknown name has no effect. */
+/* Disables the optimisation with this name in measure.off; an unknown name has no effect. */
 void lb_switch_disable_optimisation (const char *name);
 bool lb_switch_is_on (LbSwitch id);
 void lb_switch_enable_all_optimisations (void);
--- a/packages/base/src/lb-alloc.c
+++ b/packages/base/src/lb-alloc.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 static void *
-abort_if_null (void *memory)
+abort_if_out_of_memory (void *memory)
 {
   if (!memory)
     {
@@ -19,19 +19,19 @@
 void *
 lb_malloc (size_t size)
 {
-  return abort_if_null (malloc (size ? size : 1));
+  return abort_if_out_of_memory (malloc (size ? size : 1));
 }
 
 void *
 lb_calloc (size_t count, size_t size)
 {
-  return abort_if_null (calloc (count ? count : 1, size ? size : 1));
+  return abort_if_out_of_memory (calloc (count ? count : 1, size ? size : 1));
 }
 
 void *
 lb_realloc (void *memory, size_t size)
 {
-  return abort_if_null (realloc (memory, size ? size : 1));
+  return abort_if_out_of_memory (realloc (memory, size ? size : 1));
 }
 
 void *
@@ -47,13 +47,13 @@
 char *
 lb_strdup (const char *text)
 {
-  return abort_if_null (strdup (text));
+  return abort_if_out_of_memory (strdup (text));
 }
 
 char *
 lb_strndup (const char *text, size_t length)
 {
-  return abort_if_null (strndup (text, length));
+  return abort_if_out_of_memory (strndup (text, length));
 }
 
 char *
@@ -65,7 +65,7 @@
   va_start (args, format);
   int length = vasprintf (&text, format, args);
   va_end (args);
-  return abort_if_null (length < 0 ? NULL : text);
+  return abort_if_out_of_memory (length < 0 ? NULL : text);
 }
 
 size_t
--- a/packages/base/src/lb-error.c
+++ b/packages/base/src/lb-error.c
@@ -70,7 +70,7 @@
 };
 
 static const ErrorTypeInfo *
-get_type_info (LbErrorCode code)
+get_error_type_info (LbErrorCode code)
 {
   return &error_types[(unsigned)code < LB_N_ERRORS ? code : LB_ERROR_INTERNAL];
 }
@@ -79,7 +79,7 @@
 const char *
 lb_error_name (LbErrorCode code)
 {
-  return get_type_info (code)->name;
+  return get_error_type_info (code)->name;
 }
 
 /* Returns the error type with this name, as given by lb_error_name; LB_ERROR_INTERNAL if there is
@@ -96,7 +96,7 @@
 int
 lb_error_http_status (LbErrorCode code)
 {
-  return get_type_info (code)->http_status;
+  return get_error_type_info (code)->http_status;
 }
 
 /* Whether an error of this type proves that no byte of the request reached an endpoint, so that the
@@ -104,7 +104,7 @@
 bool
 lb_error_proves_request_not_run (LbErrorCode code)
 {
-  return get_type_info (code)->proves_not_run;
+  return get_error_type_info (code)->proves_not_run;
 }
 
 bool
--- a/packages/base/src/lb-json-keys.c
+++ b/packages/base/src/lb-json-keys.c
@@ -39,7 +39,7 @@
 }
 
 static void
-pop_container (Scanner *scanner)
+pop_innermost_container (Scanner *scanner)
 {
   Container *innermost = scanner->innermost;
   Key *key, *next;
@@ -56,7 +56,7 @@
 }
 
 static bool
-skip_past_terminator (Scanner *scanner, const char *terminator)
+skip_past_comment_terminator (Scanner *scanner, const char *terminator)
 {
   const char *found = memmem (scanner->text + scanner->position,
                               scanner->length - scanner->position, terminator, strlen (terminator));
@@ -71,9 +71,10 @@
 {
   if (scanner->position + 1 >= scanner->length || scanner->text[scanner->position] != '/')
     return false;
-  return scanner->text[scanner->position + 1] == '/'   ? skip_past_terminator (scanner, "\n")
-         : scanner->text[scanner->position + 1] == '*' ? skip_past_terminator (scanner, "*/")
-                                                       : false;
+  return scanner->text[scanner->position + 1] == '/' ? skip_past_comment_terminator (scanner, "\n")
+         : scanner->text[scanner->position + 1] == '*'
+             ? skip_past_comment_terminator (scanner, "*/")
+             : false;
 }
 
 /* Skips the rest of a string whose opening quote was consumed, closing quote included. Returns the
@@ -92,7 +93,7 @@
 
 /* Whether the string that was just skipped is a key: in an object and followed by a colon. */
 static bool
-is_object_key (const Scanner *scanner)
+is_skipped_string_object_key (const Scanner *scanner)
 {
   size_t position = scanner->position;
 
@@ -102,9 +103,9 @@
          && scanner->text[position] == ':';
 }
 
-/* Returns true if the innermost object already has the key; adds it otherwise. */
+/* Returns true if the innermost object already has the key; otherwise adds the key to it. */
 static bool
-find_or_add_key (Scanner *scanner, const char *name, size_t length)
+find_or_add_key_of_innermost_object (Scanner *scanner, const char *name, size_t length)
 {
   Key *key = NULL;
 
@@ -125,7 +126,8 @@
   size_t length = skip_string (scanner);
 
   *offset = begin - 1;
-  return is_object_key (scanner) && find_or_add_key (scanner, scanner->text + begin, length);
+  return is_skipped_string_object_key (scanner)
+         && find_or_add_key_of_innermost_object (scanner, scanner->text + begin, length);
 }
 
 bool
@@ -146,7 +148,7 @@
         break;
       case '}':
       case ']':
-        pop_container (&scanner);
+        pop_innermost_container (&scanner);
         scanner.position++;
         break;
       default:
@@ -154,6 +156,6 @@
           scanner.position++;
       }
   while (scanner.innermost)
-    pop_container (&scanner);
+    pop_innermost_container (&scanner);
   return found;
 }
--- a/packages/base/src/lb-log.c
+++ b/packages/base/src/lb-log.c
@@ -67,7 +67,7 @@
 }
 
 static struct json_object *
-field_to_json (const LbLogField *field)
+log_field_to_json (const LbLogField *field)
 {
   struct json_object *parsed;
 
@@ -91,7 +91,7 @@
 }
 
 static void
-write_line_blocking (const char *text, size_t length)
+write_log_line_blocking (const char *text, size_t length)
 {
   while (length > 0)
     {
@@ -106,7 +106,7 @@
 /* Counts a line of this many bytes. Returns false if the lines of the current second exceed the
  * limit of lines or bytes. */
 static bool
-count_line_against_rate_limit (size_t length)
+count_log_line_against_rate_limit (size_t length)
 {
   LbTime second = lb_clock_monotonic () / LB_SEC;
 
@@ -125,13 +125,13 @@
 /* Drops lines that don't fit into the buffer, so that a log reader that stops reading can't block
  * requests. Lines below warning are also dropped above the rate limit. */
 static void
-buffer_line (LbLogLevel level, const char *line, size_t length)
+buffer_or_drop_log_line (LbLogLevel level, const char *line, size_t length)
 {
   bool is_urgent = level >= LB_LOG_WARNING;
   size_t capacity = is_urgent ? LOG_BUFFER_BYTES : UNRESERVED_BUFFER_BYTES;
 
   if (log_state.buffered_bytes + length > capacity
-      || (!count_line_against_rate_limit (length) && !is_urgent))
+      || (!count_log_line_against_rate_limit (length) && !is_urgent))
     {
       log_state.n_dropped_lines++;
       return;
@@ -141,7 +141,7 @@
 }
 
 static void
-report_dropped_lines (void)
+log_number_of_dropped_lines (void)
 {
   int64_t dropped = log_state.n_dropped_lines - log_state.n_reported_lines;
 
@@ -153,7 +153,7 @@
 }
 
 static bool
-can_write_without_blocking (void)
+can_write_log_without_blocking (void)
 {
   struct pollfd ready = { .fd = log_state.fd, .events = POLLOUT };
 
@@ -167,8 +167,8 @@
 
   if (!log_state.buffer)
     return;
-  report_dropped_lines ();
-  while (done < log_state.buffered_bytes && can_write_without_blocking ())
+  log_number_of_dropped_lines ();
+  while (done < log_state.buffered_bytes && can_write_log_without_blocking ())
     {
       size_t left = log_state.buffered_bytes - done;
       ssize_t written = write (log_state.fd, log_state.buffer + done,
@@ -194,15 +194,15 @@
     json_object_object_add (line, "instance", json_object_new_string (log_state.instance));
   json_object_object_add (line, "event", json_object_new_string (event));
   for (; fields->type != LB_FIELD_END; fields++)
-    json_object_object_add (line, fields->key, field_to_json (fields));
+    json_object_object_add (line, fields->key, log_field_to_json (fields));
 
   size_t length;
   const char *text = json_object_to_json_string_length (line, JSON_C_TO_STRING_PLAIN, &length);
   char *with_newline = lb_asprintf ("%s\n", text);
   if (log_state.buffer)
-    buffer_line (level, with_newline, length + 1);
+    buffer_or_drop_log_line (level, with_newline, length + 1);
   else
-    write_line_blocking (with_newline, length + 1);
+    write_log_line_blocking (with_newline, length + 1);
   free (with_newline);
   json_object_put (line);
 }
--- a/packages/base/src/lb-settings.c
+++ b/packages/base/src/lb-settings.c
@@ -257,7 +257,7 @@
 }
 
 static const LbSettingSpec *
-find_setting_spec (const LbSettingSpec *specs, const char *key)
+find_setting_spec_by_key (const LbSettingSpec *specs, const char *key)
 {
   for (; specs->key; specs++)
     if (strcmp (specs->key, key) == 0)
@@ -298,7 +298,7 @@
   json_object_object_foreach (object, key, value)
   {
     char key_path[MAX_KEY_PATH_BYTES];
-    const LbSettingSpec *spec = find_setting_spec (specs, key);
+    const LbSettingSpec *spec = find_setting_spec_by_key (specs, key);
 
     snprintf (key_path, sizeof key_path, "%s%s%s", path, path[0] ? "." : "", key);
     if (!spec)
--- a/packages/base/tests/test-base.c
+++ b/packages/base/tests/test-base.c
@@ -88,7 +88,7 @@
   cr_assert_eq (parse_settings ("{\"server\": {", &settings).code, LB_ERROR_BAD_JSON);
 }
 
-Test (error, every_type_has_a_unique_name)
+Test (error, every_error_type_has_a_unique_name)
 {
   for (int code = 0; code < LB_N_ERRORS; code++)
     {
--- a/packages/base/tests/test-json.c
+++ b/packages/base/tests/test-json.c
@@ -8,19 +8,19 @@
 static struct json_object *object;
 
 static void
-parse_test_object (void)
+parse_json_of_each_type (void)
 {
   object = json_tokener_parse ("{\"text\":\"abc\",\"int\":7,\"real\":1.5,\"bool\":true,"
                                "\"digits\":\"12\",\"null\":null,\"array\":[1],\"object\":{}}");
 }
 
 static void
-release_test_object (void)
+release_json_of_each_type (void)
 {
   json_object_put (object);
 }
 
-TestSuite (json, .init = parse_test_object, .fini = release_test_object);
+TestSuite (json, .init = parse_json_of_each_type, .fini = release_json_of_each_type);
 
 Test (json, members_of_the_right_type_are_returned)
 {
--- a/packages/base/tests/test-switch.c
+++ b/packages/base/tests/test-switch.c
@@ -3,7 +3,7 @@
 #include <criterion/criterion.h>
 #include <string.h>
 
-Test (switches, all_are_on_until_switched_off_by_name)
+Test (switches, optimisations_are_on_until_disabled_by_name)
 {
   for (int i = 0; i < LB_N_SWITCHES; i++)
     cr_assert (lb_switch_is_on ((LbSwitch)i));
@@ -14,7 +14,7 @@
   cr_assert (lb_switch_is_on (LB_SWITCH_MOVES));
 }
 
-Test (switches, each_has_a_unique_name)
+Test (switches, each_optimisation_has_a_unique_name)
 {
   for (int i = 0; i < LB_N_SWITCHES; i++)
     for (int j = 0; j < i; j++)
--- a/packages/node/main/lentilspindled.c
+++ b/packages/node/main/lentilspindled.c
@@ -47,7 +47,7 @@
 } Daemon;
 
 static void
-print_help (void **table)
+print_command_line_help (void **table)
 {
   puts ("Usage: lentilspindled [OPTIONS]\n\n"
         "One instance of lentilspindle, the rollout service. Runs until SIGTERM or SIGINT, then\n"
@@ -56,7 +56,7 @@
 }
 
 static Options
-read_options (int argc, char **argv)
+parse_command_line (int argc, char **argv)
 {
   struct arg_file *config
       = arg_file0 ("c", "config", "FILE", "settings, JSON with comments (docs/SETTINGS.md)");
@@ -70,7 +70,7 @@
 
   if (help->count > 0)
     {
-      print_help (table);
+      print_command_line_help (table);
       options.exit_code = 0;
     }
   else if (version->count > 0)
@@ -107,7 +107,7 @@
 }
 
 static void
-set_name_and_incarnation (Daemon *daemon)
+set_instance_name_and_incarnation (Daemon *daemon)
 {
   LnContext *context = &daemon->context;
   const char *name = daemon->settings.instance.name;
@@ -247,7 +247,7 @@
 }
 
 static bool
-add_tasks (Daemon *daemon)
+create_and_add_tasks (Daemon *daemon)
 {
   LnContext *context = &daemon->context;
   LnTask *(*const standalone[]) (LnContext *)
@@ -272,7 +272,7 @@
        * The other tasks read the instance name in their constructors. */
       if (i == 0)
         {
-          set_name_and_incarnation (daemon);
+          set_instance_name_and_incarnation (daemon);
           set_random_seed (daemon);
         }
     }
@@ -334,7 +334,7 @@
   lb_log_init ((LbLogLevel)daemon->settings.log.level, STDOUT_FILENO,
                daemon->settings.instance.name);
   daemon_init (daemon);
-  if (!add_tasks (daemon))
+  if (!create_and_add_tasks (daemon))
     goto out;
   lb_log_init ((LbLogLevel)daemon->settings.log.level, STDOUT_FILENO, daemon->context.instance);
   if (daemon->settings.address_file[0] && !write_address_file (daemon, &error))
@@ -358,7 +358,7 @@
 main (int argc, char **argv)
 {
   Daemon daemon = { 0 };
-  Options options = read_options (argc, argv);
+  Options options = parse_command_line (argc, argv);
   int exit_code = EXIT_USAGE;
 
   if (options.exit_code >= 0)
