--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -239,7 +239,7 @@
 }
 
 static void
-answer_watch (LnConfigTask *task, LnConfigWatch *watch)
+answer_watch_request (LnConfigTask *task, LnConfigWatch *watch)
 {
   int64_t revision = lc_config_active_revision (task->config);
   char key[32];
@@ -297,7 +297,7 @@
   {
     if (now >= watch->deadline || task->draining
         || has_activation_changed_since_watch_start (task, watch))
-      answer_watch (task, watch);
+      answer_watch_request (task, watch);
     else if (now >= watch->next_query_at)
       {
         watch->next_query_at = now + OUTDATED_INSTANCES_QUERY_PERIOD;
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -134,8 +134,8 @@
   return lb_json_serialize_and_release (object, JSON_C_TO_STRING_PLAIN);
 }
 
-static void read_head_row (LnChange *change);
-static void announce_abandoned_change (LnChange *change);
+static void read_config_head_row (LnChange *change);
+static void announce_abandoned_change_to_instances (LnChange *change);
 
 static void
 on_change_commit_finished (LbErrorCode error, LbTime started_at, void *user)
@@ -145,11 +145,11 @@
   LbList actions;
 
   if (error != LB_OK && error != LB_ERROR_STORE_UNKNOWN)
-    announce_abandoned_change (change);
+    announce_abandoned_change_to_instances (change);
   if (error == LB_ERROR_CONFLICT)
     {
       /* Another instance committed first: reads the new revision and compares it with If-Match. */
-      read_head_row (change);
+      read_config_head_row (change);
       return;
     }
   if (error != LB_OK)
@@ -175,7 +175,7 @@
 }
 
 static void
-announce_change (LnChange *change)
+announce_change_to_instances (LnChange *change)
 {
   LbList actions;
 
@@ -201,7 +201,7 @@
   else if (change->is_dry_run)
     reply_change_accepted (change, change->new_set->revision, true);
   else
-    announce_change (change);
+    announce_change_to_instances (change);
 }
 
 static void
@@ -217,7 +217,7 @@
 
 /* Notifies the other instances that the announced change was not committed. */
 static void
-announce_abandoned_change (LnChange *change)
+announce_abandoned_change_to_instances (LnChange *change)
 {
   LbList actions;
 
@@ -230,7 +230,7 @@
  * change's token, the change was committed but its reply was lost. The operator's retry then gets
  * the same reply; any other change is rejected. */
 static void
-on_next_revision_read (LbErrorCode error, struct json_object *rows, void *user)
+on_history_of_next_revision_read (LbErrorCode error, struct json_object *rows, void *user)
 {
   LnChange *change = user;
   struct json_object *row = error == LB_OK && json_object_array_length (rows) > 0
@@ -248,7 +248,7 @@
 }
 
 static void
-on_head_row_read (const LnConfigRead *read, void *user)
+on_config_head_row_read (const LnConfigRead *read, void *user)
 {
   LnChange *change = user;
   LnConfigTask *task = change->task;
@@ -276,20 +276,20 @@
     apply_change_to_active_set (change, read->head_version);
   else if (change->expected_revision < revision)
     ln_config_store_read_history (task->store, change->expected_revision + 1, 1,
-                                  on_next_revision_read, change);
+                                  on_history_of_next_revision_read, change);
   else
     reject_change_with_code (change, LB_ERROR_CONFLICT,
                              "If-Match names a revision that was never accepted", 0);
 }
 
 static void
-read_head_row (LnChange *change)
+read_config_head_row (LnChange *change)
 {
   change->state = CHANGE_READING;
   change->read_attempts++;
   ln_config_store_read_accepted_set (change->task->store,
                                      lc_config_active_revision (change->task->config),
-                                     on_head_row_read, change);
+                                     on_config_head_row_read, change);
 }
 
 static void
@@ -298,7 +298,7 @@
   LnChange *change = LB_LIST_FIRST (&task->changes, LnChange, link);
 
   if (change && change->state == CHANGE_WAITING)
-    read_head_row (change);
+    read_config_head_row (change);
 }
 
 static bool
@@ -407,7 +407,7 @@
     commit_new_set (change);
   else if (now - change->announced_at > MAJORITY_TIMEOUT)
     {
-      announce_abandoned_change (change);
+      announce_abandoned_change_to_instances (change);
       reject_change_with_code (
           change, LB_ERROR_NOT_READY,
           "this instance did not reach a majority of the known instances within 1 s", LB_SEC);
--- a/packages/node/src/config/ln-config-store.c
+++ b/packages/node/src/config/ln-config-store.c
@@ -152,10 +152,10 @@
   return ok;
 }
 
-static void read_head_row (HeadRead *read);
+static void read_config_head_row (HeadRead *read);
 
 static void
-on_set_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_resource_set_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   HeadRead *read = user;
   LbError parse_error = { .code = LB_OK };
@@ -164,7 +164,7 @@
    * head row again. */
   if (error == LB_ERROR_NOT_FOUND && read->attempts < MAX_HEAD_READ_ATTEMPTS)
     {
-      read_head_row (read);
+      read_config_head_row (read);
       return;
     }
   if (error == LB_OK && n_rows == 1)
@@ -182,7 +182,7 @@
 }
 
 static void
-on_head_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_config_head_row_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   HeadRead *read = user;
   char key[MAX_ROW_KEY_BYTES];
@@ -206,15 +206,15 @@
       return;
     }
   snprintf (key, sizeof key, "config/set/%020lld", (long long)read->result.revision);
-  request_row (read->store, key, on_set_row_read, read);
+  request_row (read->store, key, on_resource_set_row_read, read);
 }
 
 static void
-read_head_row (HeadRead *read)
+read_config_head_row (HeadRead *read)
 {
   read->attempts++;
   read->result.requested_at = lb_clock_monotonic ();
-  request_row (read->store, HEAD_ROW_KEY, on_head_row_read, read);
+  request_row (read->store, HEAD_ROW_KEY, on_config_head_row_read, read);
 }
 
 void
@@ -230,7 +230,7 @@
   read->done = done;
   read->user = user;
   lb_list_append (&store->reads, &read->link);
-  read_head_row (read);
+  read_config_head_row (read);
 }
 
 static void
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -55,7 +55,7 @@
 }
 
 static void
-on_head_read (const LnConfigRead *read, void *user)
+on_accepted_set_read (const LnConfigRead *read, void *user)
 {
   LnConfigTask *task = user;
   LbTime now = lb_clock_monotonic ();
@@ -109,7 +109,7 @@
         {
           task->is_polling_head = true;
           ln_config_store_read_accepted_set (task->store, lc_config_active_revision (task->config),
-                                             on_head_read, task);
+                                             on_accepted_set_read, task);
         }
       break;
     case LC_CONFIG_SEND:
