--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -136,7 +136,7 @@
 } RowReader;
 
 static void
-append_parsed_row (const char *name, const char *text, int64_t version, void *user)
+parse_and_append_catalog_row (const char *name, const char *text, int64_t version, void *user)
 {
   RowReader *reader = user;
   const LpRow row = { .key = name, .value = text, .version = version };
@@ -162,7 +162,7 @@
 read_catalog_rows_with_prefix (const LnCatalog *catalog, const char *prefix, RowReader *reader)
 {
   ln_row_cache_begin_list (reader->cache);
-  lc_catalog_foreach (catalog->catalog, prefix, append_parsed_row, reader);
+  lc_catalog_foreach (catalog->catalog, prefix, parse_and_append_catalog_row, reader);
   ln_row_cache_end_list (reader->cache);
 }
 
@@ -208,7 +208,7 @@
 }
 
 static void
-on_catalog_rows (const LpRow *rows, size_t n_rows, void *user)
+on_catalog_rows_changed (const LpRow *rows, size_t n_rows, void *user)
 {
   LnCatalog *catalog = user;
   LbName before;
@@ -246,7 +246,8 @@
   catalog->delivered_change_count = -1;
   catalog->catalog = lc_catalog_new (context->instance, context->incarnation,
                                      ln_context_random_seed (context), lb_clock_monotonic ());
-  catalog->follower = lp_follow_new (context->platform, &settings, on_catalog_rows, catalog);
+  catalog->follower
+      = lp_follow_new (context->platform, &settings, on_catalog_rows_changed, catalog);
   catalog->endpoint_cache = ln_row_cache_new (&endpoint_row_class, NULL);
   catalog->instance_cache = ln_row_cache_new (&instance_row_class, NULL);
   return catalog;
@@ -368,7 +369,7 @@
 }
 
 static void
-send_next_catalog_write (LnCatalog *catalog, LbTime now)
+write_pending_catalog_changes (LnCatalog *catalog, LbTime now)
 {
   LcCatalogWrite write;
 
@@ -465,7 +466,7 @@
     return;
   lp_follow_tick (catalog->follower, now);
   set_publisher_takeover_rank (catalog, get_publisher_takeover_rank (catalog));
-  send_next_catalog_write (catalog, now);
+  write_pending_catalog_changes (catalog, now);
 }
 
 void
@@ -485,7 +486,7 @@
                                 .value = lc_registration_to_json (&endpoints[i]) };
   lc_catalog_set_listing (catalog->catalog, ENDPOINT_PREFIX, items, n_endpoints,
                           get_store_time_ms (catalog));
-  send_next_catalog_write (catalog, now);
+  write_pending_catalog_changes (catalog, now);
 }
 
 void
@@ -525,7 +526,7 @@
 }
 
 static void
-apply_subset_bound (const char *service, const char *bound, int64_t version, void *user)
+set_subset_bound_of_service (const char *service, const char *bound, int64_t version, void *user)
 {
   (void)version;
   lc_subset_set_bound (user, service, bound);
@@ -534,7 +535,7 @@
 void
 ln_catalog_apply_subset_bounds (const LnCatalog *catalog, LcSubset *subset)
 {
-  lc_catalog_foreach (catalog->catalog, BOUND_PREFIX, apply_subset_bound, subset);
+  lc_catalog_foreach (catalog->catalog, BOUND_PREFIX, set_subset_bound_of_service, subset);
 }
 
 bool
--- a/packages/node/src/membership/ln-catalog.h
+++ b/packages/node/src/membership/ln-catalog.h
@@ -34,7 +34,7 @@
 LnCatalog *ln_catalog_new (LnContext *context, const LnCatalogHandlers *handlers, void *user);
 void ln_catalog_free (LnCatalog *catalog);
 
-/* commands: change the catalog */
+/* --- functions that change the catalog --- */
 /* Watches the catalog, and writes to it if this instance publishes. n_endpoints: number of
  * endpoints that this instance knows. */
 void ln_catalog_tick (LnCatalog *catalog, size_t n_endpoints, LbTime now);
@@ -54,7 +54,7 @@
  * the last endpoint key that an instance lists for the service. */
 void ln_catalog_set_subset_bounds (LnCatalog *catalog, const LcSubset *subset);
 
-/* queries: leave the catalog unchanged */
+/* --- functions that only read the catalog --- */
 /* Calls `callback` with the overloaded service of each live instance that reports one. */
 void ln_catalog_foreach_overloaded_service (const LnCatalog *catalog,
                                             void (*callback) (const char *service, void *user),
@@ -66,11 +66,11 @@
 /* Returns true if this instance has to list the instances itself. Candidates for publishing always
  * do, so that they detect at once an instance that failed together with the publisher. */
 bool ln_catalog_needs_member_list (const LnCatalog *catalog, LbTime now);
-/* Time between two listings by the publisher. */
+/* Returns the time between two lists of endpoints or instances that the publisher writes. */
 LbTime ln_catalog_get_publish_period (const LnCatalog *catalog);
 /* Returns true if the other instances rely on the listings of this instance. */
 bool ln_catalog_is_publisher (const LnCatalog *catalog);
-/* Name of the instance that published last; "": no instance has published. */
+/* Returns the name of the instance that published last; "": no instance has published yet. */
 const char *ln_catalog_get_publisher_name (const LnCatalog *catalog);
 
 #endif
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -161,7 +161,7 @@
 }
 
 static LbTime
-get_list_period (const Listing *listing)
+get_instance_list_period (const Listing *listing)
 {
   LbTime n = (LbTime)lc_fleet_count_members (listing->fleet);
 
@@ -247,7 +247,7 @@
 /* Uses the list only when all its partitions have been read. If one could not be read, the whole
  * list is requested again. */
 static void
-on_partition_listed (
+on_instance_partition_listed (
     LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
 {
   (void)version;
@@ -257,7 +257,7 @@
   const LcFleetList list = { .received_at = now,
                              .round_trip = now - listing->requested_at,
                              .store_ms = lp_platform_get_store_clock_ms (platform),
-                             .period = get_list_period (listing) };
+                             .period = get_instance_list_period (listing) };
 
   listing->n_pending--;
   listing->has_failed |= error != LB_OK;
@@ -291,7 +291,7 @@
 }
 
 static void
-request_list_if_due (Listing *listing, LbTime now)
+request_instance_list_if_due (Listing *listing, LbTime now)
 {
   LpPlatform *platform = listing->lists->platform;
 
@@ -301,10 +301,10 @@
   listing->has_failed = false;
   listing->has_begun = false;
   listing->requested_at = now;
-  listing->next_list_at = now + get_list_period (listing);
+  listing->next_list_at = now + get_instance_list_period (listing);
   for (size_t i = 0; i < listing->n_prefixes; i++)
     platform->klass->list (platform, listing->prefixes[i], NULL, listing->row_limit,
-                           on_partition_listed, listing);
+                           on_instance_partition_listed, listing);
 }
 
 static void
@@ -350,8 +350,8 @@
 {
   if (lists->is_followed)
     return;
-  request_list_if_due (&lists->directory, now);
-  request_list_if_due (&lists->on_duty, now);
+  request_instance_list_if_due (&lists->directory, now);
+  request_instance_list_if_due (&lists->on_duty, now);
 }
 
 bool
--- a/packages/node/src/membership/ln-fleet-lists.h
+++ b/packages/node/src/membership/ln-fleet-lists.h
@@ -28,7 +28,7 @@
                                   void *user);
 void ln_fleet_lists_free (LnFleetLists *lists);
 
-/* commands: change the lists */
+/* --- functions that change the lists of instances --- */
 void ln_fleet_lists_tick (LnFleetLists *lists, LbTime now);
 /* While the catalog is followed (watched), this instance lists no rows itself: it gets the members
  * through ln_fleet_lists_set_members. */
@@ -36,7 +36,7 @@
 void
 ln_fleet_lists_set_members (LnFleetLists *lists, const LcFleetMember *members, size_t n_members);
 
-/* queries: leave the lists unchanged */
+/* --- functions that only read the lists of instances --- */
 /* Returns true if the directory is full and does not contain the instance. */
 bool ln_fleet_lists_omits_instance (const LnFleetLists *lists, const char *instance);
 /* Returns true if the last list of the instances on duty contains a row of the instance, from its
--- a/packages/node/src/membership/ln-fleet-renewal.c
+++ b/packages/node/src/membership/ln-fleet-renewal.c
@@ -33,7 +33,7 @@
 {
   LpPlatform *platform;
   LcFleetRow *row;
-  int n_in_flight;             /* number of renewals without an answer yet */
+  int n_in_flight;             /* number of sent renewals that the store has not answered yet */
   LbTime next_renewal_at;      /* when the directory row is renewed next */
   LbTime next_duty_renewal_at; /* when the duty row is renewed next */
   LbTime period;               /* time between two renewals of the directory row */
--- a/packages/node/src/membership/ln-fleet-renewal.h
+++ b/packages/node/src/membership/ln-fleet-renewal.h
@@ -24,7 +24,7 @@
   bool has_duty_row;  /* the list of instances on duty contains a row of this instance */
 } LnFleetListSummary;
 
-/* commands: write rows */
+/* --- functions that write this instance's rows --- */
 void ln_fleet_renewal_tick (LnFleetRenewal *renewal, const LnFleetListSummary *summary, LbTime now);
 /* Writes the row at once, after the caller changed the state in it. */
 void ln_fleet_renewal_write_row_now (LnFleetRenewal *renewal, LbTime now);
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -78,7 +78,7 @@
 }
 
 static void
-post_fleet_to_config (Fleet *task)
+post_members_to_config_task (Fleet *task)
 {
   LnTask *config = ln_hub_find_task (task->task.hub, "config");
   size_t n = ln_fleet_lists_count_members (task->lists);
@@ -126,7 +126,7 @@
 on_instance_lists_changed (void *user)
 {
   post_members_to_all_tasks (user);
-  post_fleet_to_config (user);
+  post_members_to_config_task (user);
   set_store_relay_peers (user);
 }
 
@@ -142,7 +142,7 @@
 /* Writes to this instance's row at once that the store became reachable or unreachable, since other
  * instances must not assign batches to this instance while it is cut off from the store. */
 static void
-update_store_reachability (Fleet *task, LbTime now)
+publish_changed_store_reachability (Fleet *task, LbTime now)
 {
   const LpPlatform *platform = task->context->platform;
   bool is_cut_off = !lp_platform_is_store_reachable (platform);
@@ -173,7 +173,7 @@
   Fleet *task = user;
   LbTime now = lb_clock_monotonic ();
 
-  update_store_reachability (task, now);
+  publish_changed_store_reachability (task, now);
   update_published_clock_lead (task, now);
   const LnFleetListSummary summary
       = { .n_instances = ln_fleet_lists_count_members (task->lists),
@@ -222,10 +222,11 @@
     }
 }
 
-/* This instance comes first if it is ready, since it knows its own state best. The number of
- * addresses is limited, so instances that missed no renewal come before the others: an instance
- * that missed one may be dead, and a caller that connects to it waits for a second. Among equals,
- * instances in the same data centre come first. */
+/* Chooses the addresses for the reply to a caller's address lookup. This instance comes first if it
+ * is ready, since it knows its own state best. The number of addresses is limited, so instances
+ * that missed no renewal come before the others: an instance that missed one may be dead, and a
+ * caller that connects to it waits for a second. Among equals, instances in the same data centre
+ * come first. */
 static size_t
 choose_caller_addresses (const Fleet *task, const char **addresses)
 {
--- a/packages/node/src/membership/ln-peers-listen.c
+++ b/packages/node/src/membership/ln-peers-listen.c
@@ -71,7 +71,7 @@
 }
 
 static void
-store_bound_address (LnPeers *peers)
+store_bound_peer_address (LnPeers *peers)
 {
   struct sockaddr_in bound = { 0 };
   socklen_t length = sizeof bound;
@@ -123,6 +123,6 @@
                                  (struct sockaddr *)&listen_address, sizeof listen_address);
   if (!peers->listener)
     return log_listen_error (address);
-  store_bound_address (peers);
+  store_bound_peer_address (peers);
   return true;
 }
--- a/packages/node/src/membership/ln-peers-load.c
+++ b/packages/node/src/membership/ln-peers-load.c
@@ -5,7 +5,7 @@
 #define LOAD_MEASUREMENT_PERIOD (5 * LB_SEC)
 
 static LbTime
-read_cpu_time (void)
+read_process_cpu_time (void)
 {
   struct rusage usage;
 
@@ -21,7 +21,7 @@
 {
   if (now < peers->next_load_at)
     return;
-  LbTime cpu_time = read_cpu_time ();
+  LbTime cpu_time = read_process_cpu_time ();
   LbTime elapsed = now - peers->next_load_at + LOAD_MEASUREMENT_PERIOD;
   int64_t load = (cpu_time - peers->cpu_time_used) * 1000 / elapsed;
   if (peers->next_load_at > 0)
--- a/packages/node/src/membership/ln-peers-private.h
+++ b/packages/node/src/membership/ln-peers-private.h
@@ -21,10 +21,10 @@
   struct evconnlistener *listener;
   LbName *leaving_endpoints; /* endpoints that the platform's last list marks as leaving */
   size_t n_leaving_endpoints;
-  struct event *timer;       /* fires when the membership next has to act */
+  struct event *timer;       /* timer of the next call of lc_membership_tick */
   LcMembership *membership;  /* NULL until the event loop runs and all addresses are known */
   LbList connections;        /* list of LnPeerConnection */
-  LbList closed_connections; /* freed at the next timer event, not inside a handler */
+  LbList closed_connections; /* closed inside a handler; freed at the next timer event */
   LbList actions;            /* list of LcMembershipAction that are not executed yet */
   LnFrameWindow *seen_frames;
   LnOutbox outbox;
