--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -38,7 +38,7 @@
  * they expire. */
 #define MAX_KNOWN_ROWS 1024
 
-/* A row of the store that this instance has read or written. */
+/* A row of the crash table that this instance has read or written. */
 typedef struct
 {
   LbLink link;
@@ -139,7 +139,7 @@
 }
 
 static void
-apply_crash_row (LnCrashes *crashes, const char *key, const char *text, LbTime now)
+add_crash_row_to_quarantine (LnCrashes *crashes, const char *key, const char *text, LbTime now)
 {
   LnCrashRow row;
   LbError error = { 0 };
@@ -161,7 +161,7 @@
 /* Withdraws the crash report of a row that was removed from the store: the row expired, or an
  * operator released the request from quarantine. */
 static void
-apply_crash_row_removal (LnCrashes *crashes, const char *key)
+withdraw_removed_crash_row (LnCrashes *crashes, const char *key)
 {
   KnownRow *row = find_known_crash_row (crashes, key);
 
@@ -197,7 +197,7 @@
 }
 
 static void
-apply_crash_rows (LnCrashes *crashes, const LpRow *rows, size_t n_rows)
+apply_changed_crash_rows (LnCrashes *crashes, const LpRow *rows, size_t n_rows)
 {
   LbTime now = lb_clock_monotonic ();
 
@@ -208,16 +208,16 @@
   update_store_clock_offset (crashes);
   for (size_t i = 0; i < n_rows; i++)
     if (rows[i].value)
-      apply_crash_row (crashes, rows[i].key, rows[i].value, now);
+      add_crash_row_to_quarantine (crashes, rows[i].key, rows[i].value, now);
     else
-      apply_crash_row_removal (crashes, rows[i].key);
+      withdraw_removed_crash_row (crashes, rows[i].key);
   ln_crashes_publish_clearances (crashes);
 }
 
 static void
 on_crash_rows_changed (const LpRow *rows, size_t n_rows, void *user)
 {
-  apply_crash_rows (user, rows, n_rows);
+  apply_changed_crash_rows (user, rows, n_rows);
 }
 
 static void
@@ -240,7 +240,7 @@
   crashes->next_scan_at = lb_clock_monotonic () + TABLE_SCAN_PERIOD;
   crashes->has_scanned = true;
   crashes->is_complete_copy = true;
-  apply_crash_rows (crashes, rows, error == LB_OK ? n_rows : 0);
+  apply_changed_crash_rows (crashes, rows, error == LB_OK ? n_rows : 0);
 }
 
 /* --- writing rows --- */
@@ -306,7 +306,7 @@
 
   if (!ln_crash_frame_read (frame, &row))
     return false;
-  apply_crash_row (crashes, row.key, row.text, lb_clock_monotonic ());
+  add_crash_row_to_quarantine (crashes, row.key, row.text, lb_clock_monotonic ());
   ln_crashes_publish_clearances (crashes);
   return true;
 }
--- a/packages/node/src/endpoints/ln-endpoint-list.h
+++ b/packages/node/src/endpoints/ln-endpoint-list.h
@@ -23,14 +23,14 @@
 ln_endpoint_list_new (LnContext *context, const LnEndpointListHandlers *handlers, void *user);
 void ln_endpoint_list_free (LnEndpointList *list);
 
-/* commands: change the list */
+/* --- functions that change the list of endpoints --- */
 /* Sets the desired state and keeps a reference to it. Endpoints of services that it does not
  * contain are omitted from the list. */
 void ln_endpoint_list_set_desired_state (LnEndpointList *list, LcDesired *desired);
 /* Requests a new list. Must not be called while a list is in progress. */
 void ln_endpoint_list_request (LnEndpointList *list, LbTime now);
 
-/* queries: leave the list unchanged */
+/* --- functions that only read the list of endpoints --- */
 bool ln_endpoint_list_is_in_progress (const LnEndpointList *list);
 LbTime ln_endpoint_list_get_request_time (const LnEndpointList *list);
 LcSubset *ln_endpoint_list_get_subset (LnEndpointList *list);
--- a/packages/node/src/endpoints/ln-leaving.c
+++ b/packages/node/src/endpoints/ln-leaving.c
@@ -94,8 +94,8 @@
   LN_POST (peers->hub, peers, message);
 }
 
-/* An endpoint reports that it is leaving to a single instance, in a refusal or a load report.
- * Without this notification the other instances would send it new work until they poll it. Skips
+/* A leaving endpoint tells only one instance so, in a refusal or a load report. Without this
+ * notification the other instances would send the endpoint new work until they poll it. Skips
  * endpoints that are marked as leaving in the resources, since all instances know that, and
  * endpoints without an incarnation, since the notification could also apply to a restarted
  * endpoint. */
