--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -245,7 +245,7 @@
 /* --- states of engines --- */
 
 static void
-report_engine_state (const Engine *engine)
+pass_engine_state_to_owner (const Engine *engine)
 {
   LcPlanEntry entry = { .version = engine->version, .loading = engine->ordered_version != 0 };
 
@@ -271,7 +271,7 @@
   if (engine->ordered_version != 0
       && (version >= engine->ordered_version || now - engine->ordered_at > LOAD_TIMEOUT))
     engine->ordered_version = 0;
-  report_engine_state (engine);
+  pass_engine_state_to_owner (engine);
   report.loading = engine->ordered_version != 0;
   LB_COPY (report.incarnation, engine->name);
   lb_list_init (&actions);
@@ -303,7 +303,7 @@
 /* Records the version read from the engine. When a load has ended, orders the next load at once:
  * the next tick may be 25 ms away. */
 static void
-record_queried_version (Engine *engine, LcVersion version, LbTime now)
+record_version_from_state_query (Engine *engine, LcVersion version, LbTime now)
 {
   LnWeightOrders *orders = engine->orders;
   LcVersion ordered_version = engine->ordered_version;
@@ -347,7 +347,7 @@
       return;
     }
   engine->orders_accepted = state.orders_accepted;
-  record_queried_version (engine, state.version, now);
+  record_version_from_state_query (engine, state.version, now);
 }
 
 static void
@@ -440,7 +440,7 @@
   orders->context->dialect->write_order (&order, &outgoing);
   if (engine->order_fetch)
     lh_fetch_cancel (engine->order_fetch);
-  report_engine_state (engine);
+  pass_engine_state_to_owner (engine);
   lb_log (LB_LOG_INFO, "weights_order", LB_TEXT ("endpoint", engine->name),
           LB_TEXT ("model", engine->model), LB_INT ("version", order.version),
           LB_INT ("fence", order.fence), LB_INT ("orders_before", order.orders_before));
