--- a/packages/node/src/duties/ln-duty-lease.h
+++ b/packages/node/src/duties/ln-duty-lease.h
@@ -20,7 +20,7 @@
                                 void *user);
 void ln_duty_lease_free (LnDutyLease *lease);
 
-/* commands, which change the lease's state */
+/* --- functions that change the lease's state --- */
 /* Sets the instances from which the candidates are chosen. */
 void ln_duty_lease_set_members (LnDutyLease *lease, const LnMembersMessage *members);
 /* Renews or claims the lease if due. all_check_fences: every current receiver of the holder's calls
@@ -31,7 +31,7 @@
 void ln_duty_lease_request_read (LnDutyLease *lease, LbTime now);
 void ln_duty_lease_release (LnDutyLease *lease, LbTime now);
 
-/* queries, which change no state */
+/* --- functions that only read the lease's state --- */
 bool ln_duty_lease_is_held (const LnDutyLease *lease);
 bool ln_duty_lease_is_candidate (const LnDutyLease *lease);
 bool ln_duty_lease_is_released (const LnDutyLease *lease, LbTime now);
--- a/packages/node/src/duties/ln-scaler.h
+++ b/packages/node/src/duties/ln-scaler.h
@@ -13,7 +13,7 @@
 LnScaler *ln_scaler_new (LnContext *context, LnDutyLease *lease);
 void ln_scaler_free (LnScaler *scaler);
 
-/* commands, which change the scaler's state */
+/* --- functions that change the scaler's state --- */
 void ln_scaler_set_lease_held (LnScaler *scaler, bool held);
 void ln_scaler_add_demand (LnScaler *scaler, const LnDemandMessage *demand, LbTime now);
 void ln_scaler_set_desired_state (LnScaler *scaler, LcDesired *desired);
--- a/packages/node/src/duties/ln-usage-reporter.h
+++ b/packages/node/src/duties/ln-usage-reporter.h
@@ -13,7 +13,7 @@
 LnUsageReporter *ln_usage_reporter_new (LnContext *context, LnDutyLease *lease);
 void ln_usage_reporter_free (LnUsageReporter *reporter);
 
-/* commands, which change the reporter's state */
+/* --- functions that change the reporter's state --- */
 /* To be called when this instance gained or lost the lease. */
 void ln_usage_reporter_set_lease_held (LnUsageReporter *reporter, bool held);
 /* Executes the actions that are due. true_ms: true time (ln-true-time.h) in Unix milliseconds. */
--- a/packages/node/src/duties/ln-usage-rows.h
+++ b/packages/node/src/duties/ln-usage-rows.h
@@ -18,8 +18,9 @@
 void ln_usage_format_partition_prefix (size_t partition, char *key);
 /* Returns the number of the window in a row's key; -1: key is not the key of a usage row. */
 int64_t ln_usage_parse_window_from_key (const char *key);
-/* Length of the key prefix that all rows of one incarnation and window share; 0: key is not the key
- * of a usage row. If several rows share the prefix, the largest counts are the valid ones. */
+/* Returns the length of the key prefix that all rows of one incarnation and window share; 0: key is
+ * not the key of a usage row. If several rows share the prefix, the largest counts are the valid
+ * ones. */
 size_t ln_usage_get_incarnation_prefix_length (const char *key);
 
 /* Counts this instance's requests and writes the counts to the store. */
@@ -28,14 +29,14 @@
 LnUsageRows *ln_usage_rows_new (LnContext *context, int64_t window_ms);
 void ln_usage_rows_free (LnUsageRows *rows);
 
-/* commands, which change the state */
+/* --- functions that change the usage rows --- */
 /* true_ms: start of the request in true time (ln-true-time.h), as Unix milliseconds. */
 void ln_usage_rows_count_request (LnUsageRows *rows, const char *organisation, int64_t true_ms);
 /* Writes the rows that are due. n_instances: number of instances that write rows; the more there
  * are, the less often each one writes. */
 void ln_usage_rows_tick (LnUsageRows *rows, size_t n_instances, int64_t true_ms, LbTime now);
 
-/* queries, which change no state */
+/* --- functions that only read the usage rows --- */
 bool ln_usage_rows_are_all_written (const LnUsageRows *rows);
 
 #endif
--- a/packages/node/src/store/ln-platform-call.c
+++ b/packages/node/src/store/ln-platform-call.c
@@ -17,7 +17,7 @@
 typedef struct
 {
   LbLink link;
-  LbList *calls; /* list that contains this call */
+  LbList *calls; /* the caller's list of calls in progress, which contains this call */
   const LnContext *context;
   LhFetch *fetch;
   LnPlatformCallDone done;
