--- a/packages/node/src/membership/ln-peers-load.c
+++ b/packages/node/src/membership/ln-peers-load.c
@@ -2,10 +2,10 @@
 
 #include <sys/resource.h>
 
-#define LOAD_PERIOD (5 * LB_SEC)
+#define LOAD_MEASUREMENT_PERIOD (5 * LB_SEC)
 
 static LbTime
-read_cpu_time (void)
+read_process_cpu_time (void)
 {
   struct rusage usage;
 
@@ -21,11 +21,11 @@
 {
   if (now < peers->next_load_at)
     return;
-  LbTime cpu_time = read_cpu_time ();
-  LbTime elapsed = now - peers->next_load_at + LOAD_PERIOD;
+  LbTime cpu_time = read_process_cpu_time ();
+  LbTime elapsed = now - peers->next_load_at + LOAD_MEASUREMENT_PERIOD;
   int64_t load = (cpu_time - peers->cpu_time_used) * 1000 / elapsed;
   if (peers->next_load_at > 0)
     lc_membership_set_self_load (peers->membership, load, now, &peers->actions);
   peers->cpu_time_used = cpu_time;
-  peers->next_load_at = now + LOAD_PERIOD;
+  peers->next_load_at = now + LOAD_MEASUREMENT_PERIOD;
 }
