--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -248,8 +248,9 @@
   batches->context = context;
   lb_list_init (&batches->calls);
   ln_batches_start_row_watch (batches);
-  batches->tick
-      = (LnPeriodicCall){ .period = TICK_INTERVAL, .callback = on_batches_tick, .user = batches };
+  batches->tick = (LnPeriodicCall){ .period = BATCHES_TICK_INTERVAL,
+                                    .callback = on_batches_tick,
+                                    .user = batches };
   ln_ticker_add (ln_context_get_ticker (context), &batches->tick);
   return &batches->task;
 }
