--- a/fuzz/fuzz-frame.c
+++ b/fuzz/fuzz-frame.c
@@ -37,7 +37,7 @@
   LwFrame frame;
   LbError error = { 0 };
 
-  while (lw_frame_read (data, size, LW_FRAME_MAX_BODY_BYTES, &frame, &error) == LW_FRAME_COMPLETE)
+  while (lw_frame_parse (data, size, LW_FRAME_MAX_BODY_BYTES, &frame, &error) == LW_FRAME_COMPLETE)
     {
       LwMessage message = { 0 };
       if (lw_message_decode (frame.body, frame.length, &message, &error))
--- a/packages/cli/src/lt-get.c
+++ b/packages/cli/src/lt-get.c
@@ -22,7 +22,7 @@
 static void
 print_resource (struct json_object *resource)
 {
-  printf ("%-14s %-24s", lt_json_text (resource, "kind"), lt_json_text (resource, "name"));
+  printf ("%-14s %-24s", lt_json_get_text (resource, "kind"), lt_json_get_text (resource, "name"));
   json_object_object_foreach (resource, key, value)
   {
     if (strcmp (key, "kind") == 0 || strcmp (key, "name") == 0)
@@ -40,7 +40,7 @@
 {
   struct json_object *list = json_object_object_get (body, "resources");
 
-  printf ("revision %lld\n", (long long)lt_json_integer (body, "revision"));
+  printf ("revision %lld\n", (long long)lt_json_get_integer (body, "revision"));
   for (size_t i = 0; i < json_object_array_length (list); i++)
     print_resource (json_object_array_get_idx (list, i));
 }
@@ -94,8 +94,8 @@
   for (size_t i = 0; i < json_object_array_length (list); i++)
     {
       struct json_object *resource = json_object_array_get_idx (list, i);
-      if (strcmp (lt_json_text (resource, "kind"), lt_json_text (wanted, "kind")) == 0
-          && strcmp (lt_json_text (resource, "name"), lt_json_text (wanted, "name")) == 0)
+      if (strcmp (lt_json_get_text (resource, "kind"), lt_json_get_text (wanted, "kind")) == 0
+          && strcmp (lt_json_get_text (resource, "name"), lt_json_get_text (wanted, "name")) == 0)
         return resource;
     }
   return NULL;
@@ -104,7 +104,7 @@
 static void
 print_changed_keys (struct json_object *before, struct json_object *after)
 {
-  printf ("~ %s/%s\n", lt_json_text (after, "kind"), lt_json_text (after, "name"));
+  printf ("~ %s/%s\n", lt_json_get_text (after, "kind"), lt_json_get_text (after, "name"));
   json_object_object_foreach (after, key, value)
   {
     struct json_object *old = json_object_object_get (before, key);
@@ -136,7 +136,8 @@
       if (old)
         print_changed_keys (old, resource);
       else
-        printf ("+ %s/%s\n", lt_json_text (resource, "kind"), lt_json_text (resource, "name"));
+        printf ("+ %s/%s\n", lt_json_get_text (resource, "kind"),
+                lt_json_get_text (resource, "name"));
     }
   json_object_put (old_set);
   json_object_put (new_set);
--- a/packages/cli/src/lt-resources.c
+++ b/packages/cli/src/lt-resources.c
@@ -21,7 +21,7 @@
 }
 
 const char *
-lt_json_text (struct json_object *object, const char *key)
+lt_json_get_text (struct json_object *object, const char *key)
 {
   struct json_object *value = NULL;
 
@@ -33,7 +33,7 @@
 }
 
 int64_t
-lt_json_integer (struct json_object *object, const char *key)
+lt_json_get_integer (struct json_object *object, const char *key)
 {
   struct json_object *value = NULL;
 
@@ -109,7 +109,7 @@
   json_object_object_foreach (in_force, revision, counts)
   {
     (void)revision;
-    if (lt_json_integer (counts, "on") < lt_json_integer (counts, "of"))
+    if (lt_json_get_integer (counts, "on") < lt_json_get_integer (counts, "of"))
       return false;
   }
   return true;
@@ -128,7 +128,7 @@
       snprintf (path, sizeof path, "/v1/resources/watch?after=%lld&wait_ms=%d", (long long)revision,
                 long_poll_ms);
       bool ok = lt_client_call (client, &call, &reply, error);
-      bool is_active = ok && lt_json_integer (reply.body, "accepted") >= revision
+      bool is_active = ok && lt_json_get_integer (reply.body, "accepted") >= revision
                        && is_in_force_on_all_instances (reply.body);
       lt_reply_clear (&reply);
       if (!ok)
@@ -150,12 +150,12 @@
     lt_print_json (body);
   else if (request->dry_run)
     printf ("dry run: the change would become revision %lld; nothing was changed\n",
-            (long long)lt_json_integer (body, "revision"));
+            (long long)lt_json_get_integer (body, "revision"));
   else
     printf ("accepted as revision %lld, in force on %lld of %lld instances\n",
-            (long long)lt_json_integer (body, "revision"),
-            (long long)lt_json_integer (in_force, "on"),
-            (long long)lt_json_integer (in_force, "of"));
+            (long long)lt_json_get_integer (body, "revision"),
+            (long long)lt_json_get_integer (in_force, "on"),
+            (long long)lt_json_get_integer (in_force, "of"));
 }
 
 /* Sends the change again if no reply arrives, except a forced change. All attempts carry the same
@@ -203,7 +203,8 @@
     }
   print_change_outcome (request, reply.body);
   if (request->active_timeout > 0 && !request->dry_run
-      && !lt_resources_wait_until_active (request->client, lt_json_integer (reply.body, "revision"),
+      && !lt_resources_wait_until_active (request->client,
+                                          lt_json_get_integer (reply.body, "revision"),
                                           request->active_timeout, &error))
     code = lt_print_error (&error);
 out:
--- a/packages/cli/src/lt-resources.h
+++ b/packages/cli/src/lt-resources.h
@@ -34,8 +34,8 @@
 void lt_print_json (struct json_object *object);
 
 /* Returns the value of the key as text, or "" if the key is absent or its value is null. */
-const char *lt_json_text (struct json_object *object, const char *key);
+const char *lt_json_get_text (struct json_object *object, const char *key);
 /* Returns the value of the key as an integer, or 0 if the key is absent. */
-int64_t lt_json_integer (struct json_object *object, const char *key);
+int64_t lt_json_get_integer (struct json_object *object, const char *key);
 
 #endif
--- a/packages/cli/src/lt-watch.c
+++ b/packages/cli/src/lt-watch.c
@@ -34,8 +34,9 @@
   json_object_object_foreach (in_force, revision, counts)
   {
     printf ("accepted %lld, revision %s in force on %lld of %lld",
-            (long long)lt_json_integer (body, "accepted"), revision,
-            (long long)lt_json_integer (counts, "on"), (long long)lt_json_integer (counts, "of"));
+            (long long)lt_json_get_integer (body, "accepted"), revision,
+            (long long)lt_json_get_integer (counts, "on"),
+            (long long)lt_json_get_integer (counts, "of"));
     struct json_object *behind = json_object_object_get (counts, "behind");
     if (behind && json_object_array_length (behind) > 0)
       {
@@ -71,7 +72,7 @@
         lt_print_json (reply.body);
       else
         print_watch_report (reply.body);
-      after = keep_watching ? lt_json_integer (reply.body, "accepted") : after;
+      after = keep_watching ? lt_json_get_integer (reply.body, "accepted") : after;
       keep_watching = keep_watching && options->once->count == 0;
       lt_reply_clear (&reply);
     }
@@ -103,14 +104,14 @@
 print_history_row (struct json_object *row)
 {
   char at[32];
-  time_t seconds = (time_t)(lt_json_integer (row, "at_ms") / 1000);
+  time_t seconds = (time_t)(lt_json_get_integer (row, "at_ms") / 1000);
   struct tm utc;
   struct json_object *change = json_object_object_get (row, "change");
 
   gmtime_r (&seconds, &utc);
   strftime (at, sizeof at, "%Y-%m-%dT%H:%M:%SZ", &utc);
-  printf ("%-9lld %s %-24s %s\n", (long long)lt_json_integer (row, "revision"), at,
-          lt_json_text (row, "who"),
+  printf ("%-9lld %s %-24s %s\n", (long long)lt_json_get_integer (row, "revision"), at,
+          lt_json_get_text (row, "who"),
           json_object_to_json_string_ext (change, JSON_C_TO_STRING_PLAIN));
 }
 
--- a/packages/http/include/lh-sse.h
+++ b/packages/http/include/lh-sse.h
@@ -22,14 +22,15 @@
 /* Parses the next bytes of the stream. Calls the handler with the value of each complete `data:`
  * line; other lines are ignored. Returns false with BODY_TOO_LARGE if an incomplete line exceeds
  * max_event_bytes. */
-bool lh_sse_feed (
+bool lh_sse_parse_data_lines (
     LhSse *sse, const char *bytes, size_t length, LhSseHandler handler, void *user, LbError *error);
-/* Like lh_sse_feed, but calls the handler for each complete line, whatever its field. */
-bool lh_sse_feed_lines (LhSse *sse,
-                        const char *bytes,
-                        size_t length,
-                        LhSseLineHandler handler,
-                        void *user,
-                        LbError *error);
+/* Like lh_sse_parse_data_lines, but calls the handler for each complete line, whatever its field.
+ */
+bool lh_sse_parse_lines (LhSse *sse,
+                         const char *bytes,
+                         size_t length,
+                         LhSseLineHandler handler,
+                         void *user,
+                         LbError *error);
 
 #endif
--- a/packages/http/src/lh-fetch.c
+++ b/packages/http/src/lh-fetch.c
@@ -136,7 +136,7 @@
 defer_start_failure (LhFetch *fetch)
 {
   enable_output_callback (fetch, false);
-  lh_pool_schedule_close (fetch->connection);
+  lh_pool_schedule_connection_close (fetch->connection);
   fetch->connection = NULL;
   fetch->request = NULL;
   lb_list_remove (&fetch->pool->running_fetches, &fetch->link);
@@ -161,7 +161,7 @@
   lb_list_remove (&fetch->pool->running_fetches, &fetch->link);
   evhttp_request_set_error_cb (fetch->request, NULL);
   evhttp_cancel_request (fetch->request);
-  lh_pool_schedule_close (fetch->connection);
+  lh_pool_schedule_connection_close (fetch->connection);
   fetch->connection = NULL;
   fetch->request = NULL;
   handlers.on_done (fetch, &result, fetch_user);
@@ -197,8 +197,9 @@
     }
   else
     result.failure = fetch->failure != LB_OK ? fetch->failure : LB_ERROR_IO;
-  lh_pool_release (connection,
-                   result.failure == LB_OK ? get_connection_max_idle_time (fetch, request) : 0);
+  lh_pool_release_connection (connection, result.failure == LB_OK
+                                              ? get_connection_max_idle_time (fetch, request)
+                                              : 0);
   fetch->request = request;
   fetch->handlers.on_done (fetch, &result, fetch->user);
   free (fetch);
@@ -287,7 +288,8 @@
       lb_error_set (error, LB_ERROR_BAD_VALUE, spec->method, "expected a known HTTP method");
       return NULL;
     }
-  LhConnection *connection = lh_pool_acquire (pool, spec->address, spec->fresh_connection, error);
+  LhConnection *connection
+      = lh_pool_acquire_connection (pool, spec->address, spec->fresh_connection, error);
   if (!connection)
     return NULL;
 
@@ -337,7 +339,7 @@
    * response may be partly read. */
   evhttp_request_set_error_cb (fetch->request, NULL);
   evhttp_cancel_request (fetch->request);
-  lh_pool_schedule_close (fetch->connection);
+  lh_pool_schedule_connection_close (fetch->connection);
   free (fetch);
 }
 
--- a/packages/http/src/lh-pool.c
+++ b/packages/http/src/lh-pool.c
@@ -136,7 +136,7 @@
 }
 
 void
-lh_pool_schedule_close (LhConnection *connection)
+lh_pool_schedule_connection_close (LhConnection *connection)
 {
   LhPool *pool = connection->pool;
 
@@ -152,7 +152,7 @@
     if (address && strcmp (connection->address, address) != 0)
       continue;
     remove_from_idle_list (connection);
-    lh_pool_schedule_close (connection);
+    lh_pool_schedule_connection_close (connection);
   }
 }
 
@@ -177,20 +177,20 @@
   LhConnection *longest_idle = LB_CONTAINER (pool->idle_connections.head.prev, LhConnection, link);
 
   remove_from_idle_list (longest_idle);
-  lh_pool_schedule_close (longest_idle);
+  lh_pool_schedule_connection_close (longest_idle);
 }
 
 /* Keeps the connection only if its last response allows reuse, and no longer than the server does:
  * a request on a connection that the server is closing would fail. */
 void
-lh_pool_release (LhConnection *connection, LbTime max_idle_time)
+lh_pool_release_connection (LhConnection *connection, LbTime max_idle_time)
 {
   static const struct timeval idle_timeout = { .tv_sec = 2 * MAX_CONNECTION_IDLE_TIME / LB_SEC };
   LhPool *pool = connection->pool;
 
   if (!lb_switch_is_on (LB_SWITCH_IDLE_CONNECTIONS) || max_idle_time <= 0)
     {
-      lh_pool_schedule_close (connection);
+      lh_pool_schedule_connection_close (connection);
       return;
     }
   if (pool->idle_connections.length >= MAX_IDLE_CONNECTIONS)
@@ -214,7 +214,7 @@
   if (!connection->is_idle)
     return;
   remove_from_idle_list (connection);
-  lh_pool_schedule_close (connection);
+  lh_pool_schedule_connection_close (connection);
 }
 
 static LhConnection *
@@ -253,7 +253,7 @@
 }
 
 LhConnection *
-lh_pool_acquire (LhPool *pool, const char *address, bool must_be_new, LbError *error)
+lh_pool_acquire_connection (LhPool *pool, const char *address, bool must_be_new, LbError *error)
 {
   LbTime now = lb_clock_monotonic ();
 
--- a/packages/http/src/lh-pool.h
+++ b/packages/http/src/lh-pool.h
@@ -30,14 +30,15 @@
 
 /* Returns an idle connection to the address, or a new one if none is idle or must_be_new is set.
  * Returns NULL if the address is malformed. */
-LhConnection *lh_pool_acquire (LhPool *pool, const char *address, bool must_be_new, LbError *error);
+LhConnection *
+lh_pool_acquire_connection (LhPool *pool, const char *address, bool must_be_new, LbError *error);
 /* Returns the connection to the pool, which may reuse it within max_idle_time. Closes it if
  * max_idle_time is not positive. */
-void lh_pool_release (LhConnection *connection, LbTime max_idle_time);
+void lh_pool_release_connection (LhConnection *connection, LbTime max_idle_time);
 /* Returns the time that a connection may be idle according to the Keep-Alive header of its last
  * response; keep_alive NULL: the response had no Keep-Alive header. */
 LbTime lh_pool_parse_max_idle_time (const char *keep_alive);
-void lh_pool_schedule_close (LhConnection *connection);
+void lh_pool_schedule_connection_close (LhConnection *connection);
 /* Frees closing connections and reports failed fetches in the event loop's next iteration. */
 void lh_pool_schedule_cleanup (LhPool *pool);
 
--- a/packages/http/src/lh-sse.c
+++ b/packages/http/src/lh-sse.c
@@ -59,21 +59,21 @@
 }
 
 bool
-lh_sse_feed (
+lh_sse_parse_data_lines (
     LhSse *sse, const char *bytes, size_t length, LhSseHandler handler, void *user, LbError *error)
 {
   DataLineHandler data_handler = { .handler = handler, .user = user };
 
-  return lh_sse_feed_lines (sse, bytes, length, forward_data_line, &data_handler, error);
+  return lh_sse_parse_lines (sse, bytes, length, forward_data_line, &data_handler, error);
 }
 
 bool
-lh_sse_feed_lines (LhSse *sse,
-                   const char *bytes,
-                   size_t length,
-                   LhSseLineHandler handler,
-                   void *user,
-                   LbError *error)
+lh_sse_parse_lines (LhSse *sse,
+                    const char *bytes,
+                    size_t length,
+                    LhSseLineHandler handler,
+                    void *user,
+                    LbError *error)
 {
   size_t start = 0;
 
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -539,5 +539,5 @@
 {
   for (LnBatch *batch = batches->by_id; batch; batch = batch->hh.next)
     claim_batch_if_unowned_or_offer_expired (batch, now);
-  lp_follow_tick (batches->row_watch, now);
+  lp_follow_start_call_if_due (batches->row_watch, now);
 }
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -182,7 +182,7 @@
   LbError error;
 
   if (!upstream->dialect)
-    return lh_sse_feed (&upstream->sse, bytes, length, on_sse_event, upstream, &error);
+    return lh_sse_parse_data_lines (&upstream->sse, bytes, length, on_sse_event, upstream, &error);
   if (!is_reply_to_request (upstream, fetch))
     {
       lb_metric_add (&streams_aborted, 1);
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -386,8 +386,9 @@
 static void
 post_desired_confirmed (DesiredTask *task)
 {
-  LnDesiredConfirmedMessage message = { .base = LN_MESSAGE (LN_DESIRED_CONFIRMED),
-                                        .at = lp_follow_last_answer_at (task->operator_rows) };
+  LnDesiredConfirmedMessage message
+      = { .base = LN_MESSAGE (LN_DESIRED_CONFIRMED),
+          .at = lp_follow_get_last_answer_time (task->operator_rows) };
 
   if (message.at == task->posted_confirmed_at || !task->desired)
     return;
@@ -416,7 +417,7 @@
   LbTime period = get_endpoint_list_period (task);
 
   ln_stall_set_activity ("tick of config");
-  lp_follow_tick (task->operator_rows, now);
+  lp_follow_start_call_if_due (task->operator_rows, now);
   post_desired_confirmed (task);
   ln_catalog_tick (task->catalog, lc_roster_count_endpoints (task->roster), now);
   post_catalog_followed (task, now);
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -345,7 +345,7 @@
 ln_crashes_tick (LnCrashes *crashes, LbTime now)
 {
   if (crashes->follower)
-    lp_follow_tick (crashes->follower, now);
+    lp_follow_start_call_if_due (crashes->follower, now);
   else
     {
       update_store_clock (crashes);
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -459,7 +459,7 @@
   catalog->has_had_many_endpoints |= n_endpoints >= MIN_ENDPOINTS_TO_FOLLOW;
   if (!catalog->has_had_many_endpoints)
     return;
-  lp_follow_tick (catalog->follower, now);
+  lp_follow_start_call_if_due (catalog->follower, now);
   set_takeover_rank (catalog, get_takeover_rank (catalog));
   send_next_catalog_write (catalog, now);
 }
--- a/packages/node/src/membership/ln-peer-connection.c
+++ b/packages/node/src/membership/ln-peer-connection.c
@@ -45,7 +45,7 @@
 {
   LwMessage answer;
 
-  if (!lw_handshake_handle_message (&connection->handshake, message, &answer, error))
+  if (!lw_handshake_verify_and_answer_message (&connection->handshake, message, &answer, error))
     return false;
   if (answer.type != 0)
     send_message (connection, &answer);
@@ -81,7 +81,7 @@
   LwFrame frame;
 
   const uint8_t *bytes = evbuffer_pullup (input, (ev_ssize_t)length);
-  LwFrameResult result = lw_frame_read (bytes, length, cap, &frame, error);
+  LwFrameResult result = lw_frame_parse (bytes, length, cap, &frame, error);
   if (result == LW_FRAME_PARTIAL)
     bufferevent_setwatermark (connection->stream, EV_READ, frame.consumed, 0);
   if (result != LW_FRAME_COMPLETE)
--- a/packages/store/include/lp-follow.h
+++ b/packages/store/include/lp-follow.h
@@ -34,7 +34,7 @@
 void lp_follow_free (LpFollow *follow);
 
 /* Starts the next list or watch if it is due. */
-void lp_follow_tick (LpFollow *follow, LbTime now);
+void lp_follow_start_call_if_due (LpFollow *follow, LbTime now);
 /* interval > 0: lists the rows this long after each answer instead of watching the table. This
  * suits an instance that needs the rows only occasionally: a watch delivers each change separately.
  * 0 (default): watches the table. */
@@ -48,7 +48,7 @@
 
 /* Time of the store's last answer; 0: none yet. All changes up to this answer have been
  * delivered. */
-LbTime lp_follow_last_answer_at (const LpFollow *follow);
+LbTime lp_follow_get_last_answer_time (const LpFollow *follow);
 /* Whether each row of the table has been delivered at least once. */
 bool lp_follow_has_delivered_all_rows (const LpFollow *follow);
 
--- a/packages/store/include/lp-path.h
+++ b/packages/store/include/lp-path.h
@@ -29,15 +29,15 @@
 /* Address of the peer to send the next call to; NULL: call the store directly. */
 const char *lp_path_choose_peer (const LpPath *path);
 /* Address of the peer to use when the direct path is down; NULL: no peer is available. */
-const char *lp_path_current_peer (const LpPath *path);
+const char *lp_path_get_current_peer (const LpPath *path);
 /* Records whether a direct call reached the store. */
-void lp_path_record_direct_result (LpPath *path, bool answered, LbTime now);
+void lp_path_record_direct_call_result (LpPath *path, bool answered, LbTime now);
 /* Records that a call through this peer got no answer from the store. */
 void lp_path_record_peer_failure (LpPath *path, const char *peer);
 /* Returns whether a probe of the direct path is due, and if so schedules the next probe. */
-bool lp_path_start_probe_if_due (LpPath *path, LbTime now);
+bool lp_path_schedule_next_probe_if_due (LpPath *path, LbTime now);
 /* Whether the store has answered a direct call at or after `since`. */
 bool lp_path_has_direct_answer_since (const LpPath *path, LbTime since);
-bool lp_path_is_direct_down (const LpPath *path);
+bool lp_path_is_direct_path_down (const LpPath *path);
 
 #endif
--- a/packages/store/include/lp-store.h
+++ b/packages/store/include/lp-store.h
@@ -16,7 +16,7 @@
 void lp_store_set_weight_version (LpStore *store, const char *pool, int64_t version);
 
 const LpRow *lp_store_get_row (const LpStore *store, const char *key);
-const LpRow *lp_store_next_row (const LpStore *store, const char *prefix, const char *after);
+const LpRow *lp_store_find_next_row (const LpStore *store, const char *prefix, const char *after);
 const char *lp_store_get_object (const LpStore *store, const char *key, size_t *length);
 int64_t lp_store_get_weight_version (const LpStore *store, const char *pool);
 
--- a/packages/store/src/lp-client.c
+++ b/packages/store/src/lp-client.c
@@ -332,7 +332,7 @@
   while (client->in_flight.length < MAX_CALLS_IN_FLIGHT && (call = find_next_waiting_call (client)))
     {
       LbTime now = lb_clock_monotonic ();
-      LbTime delay = lp_pacer_time_until_next_call (&client->pacer, now);
+      LbTime delay = lp_pacer_get_time_until_next_call (&client->pacer, now);
       if (delay > 0)
         {
           schedule_sending (client, delay);
@@ -398,7 +398,7 @@
 /* Starts a call. Invokes done exactly once, never from inside this function, and at the latest
  * after settings.deadline. */
 void
-lp_client_call (LpClient *client, const LpClientCall *spec, LpClientDone done, void *user)
+lp_client_start_call (LpClient *client, const LpClientCall *spec, LpClientDone done, void *user)
 {
   Call *call = LB_NEW (Call);
   const struct timeval timeout = lb_time_to_timeval (client->settings.deadline);
--- a/packages/store/src/lp-client.h
+++ b/packages/store/src/lp-client.h
@@ -26,6 +26,7 @@
 
 LpClient *lp_client_new (struct event_base *base, const LpHttpSettings *settings);
 void lp_client_free (LpClient *client);
-void lp_client_call (LpClient *client, const LpClientCall *call, LpClientDone done, void *user);
+void
+lp_client_start_call (LpClient *client, const LpClientCall *call, LpClientDone done, void *user);
 
 #endif
--- a/packages/store/src/lp-follow.c
+++ b/packages/store/src/lp-follow.c
@@ -200,7 +200,7 @@
 }
 
 void
-lp_follow_tick (LpFollow *follow, LbTime now)
+lp_follow_start_call_if_due (LpFollow *follow, LbTime now)
 {
   if (follow->n_pending > 0 || now < follow->next_call_at)
     return;
@@ -213,7 +213,7 @@
 }
 
 LbTime
-lp_follow_last_answer_at (const LpFollow *follow)
+lp_follow_get_last_answer_time (const LpFollow *follow)
 {
   return follow->last_answer_at;
 }
--- a/packages/store/src/lp-http.c
+++ b/packages/store/src/lp-http.c
@@ -83,7 +83,7 @@
   const LpClientCall call
       = { .method = "GET", .path = path, .priority = LP_PRIORITY_CONFIG, .free_user = free_user };
 
-  lp_client_call (get_http_client (platform), &call, done, user);
+  lp_client_start_call (get_http_client (platform), &call, done, user);
 }
 
 /* --- calls that apply a transaction --- */
@@ -256,7 +256,7 @@
     transact->value = lb_strdup (first->value);
   transact->done = done;
   transact->user = user;
-  lp_client_call (get_http_client (platform), &call, on_transact_answer, transact);
+  lp_client_start_call (get_http_client (platform), &call, on_transact_answer, transact);
   json_object_put (object);
 }
 
@@ -405,7 +405,7 @@
   ObjectCall *call = LB_NEW (ObjectCall);
 
   *call = (ObjectCall){ .done = done, .user = user };
-  lp_client_call (get_http_client (platform), request, on_object_answer, call);
+  lp_client_start_call (get_http_client (platform), request, on_object_answer, call);
 }
 
 /* Needs no token: putting the same bytes again changes nothing, so a retry is idempotent. */
--- a/packages/store/src/lp-memory.c
+++ b/packages/store/src/lp-memory.c
@@ -181,8 +181,8 @@
   Reply *reply = reply_new (memory, REPLY_ROWS, user);
 
   reply->done.rows = done;
-  for (const LpRow *row = lp_store_next_row (memory->store, prefix, NULL); row;
-       row = lp_store_next_row (memory->store, prefix, row->key))
+  for (const LpRow *row = lp_store_find_next_row (memory->store, prefix, NULL); row;
+       row = lp_store_find_next_row (memory->store, prefix, row->key))
     reply_add_row (reply, row);
 }
 
--- a/packages/store/src/lp-pacer.c
+++ b/packages/store/src/lp-pacer.c
@@ -36,7 +36,7 @@
 }
 
 LbTime
-lp_pacer_time_until_next_call (const LpPacer *pacer, LbTime now)
+lp_pacer_get_time_until_next_call (const LpPacer *pacer, LbTime now)
 {
   double missing;
 
--- a/packages/store/src/lp-pacer.h
+++ b/packages/store/src/lp-pacer.h
@@ -17,6 +17,6 @@
 bool lp_pacer_take_token (LpPacer *pacer, LbTime now);
 
 /* Time until the bucket has a token for the next call; 0: it has one now. */
-LbTime lp_pacer_time_until_next_call (const LpPacer *pacer, LbTime now);
+LbTime lp_pacer_get_time_until_next_call (const LpPacer *pacer, LbTime now);
 
 #endif
--- a/packages/store/src/lp-path.c
+++ b/packages/store/src/lp-path.c
@@ -43,7 +43,7 @@
 }
 
 const char *
-lp_path_current_peer (const LpPath *path)
+lp_path_get_current_peer (const LpPath *path)
 {
   if (!lb_switch_is_on (LB_SWITCH_WAY_THROUGH_PEERS))
     return NULL;
@@ -51,7 +51,7 @@
 }
 
 bool
-lp_path_is_direct_down (const LpPath *path)
+lp_path_is_direct_path_down (const LpPath *path)
 {
   return path->direct_failures >= FAILURES_UNTIL_DOWN;
 }
@@ -59,7 +59,7 @@
 const char *
 lp_path_choose_peer (const LpPath *path)
 {
-  return lp_path_is_direct_down (path) ? lp_path_current_peer (path) : NULL;
+  return lp_path_is_direct_path_down (path) ? lp_path_get_current_peer (path) : NULL;
 }
 
 static LbTime
@@ -71,7 +71,7 @@
 }
 
 void
-lp_path_record_direct_result (LpPath *path, bool answered, LbTime now)
+lp_path_record_direct_call_result (LpPath *path, bool answered, LbTime now)
 {
   path->direct_failures = answered ? 0 : path->direct_failures + 1;
   if (answered)
@@ -96,9 +96,9 @@
 }
 
 bool
-lp_path_start_probe_if_due (LpPath *path, LbTime now)
+lp_path_schedule_next_probe_if_due (LpPath *path, LbTime now)
 {
-  if (!lp_path_is_direct_down (path) || path->n_peers == 0 || now < path->next_probe_at)
+  if (!lp_path_is_direct_path_down (path) || path->n_peers == 0 || now < path->next_probe_at)
     return false;
   path->next_probe_at = now + get_probe_period (path);
   return true;
--- a/packages/store/src/lp-store.c
+++ b/packages/store/src/lp-store.c
@@ -317,7 +317,7 @@
 /* Returns the first row whose key starts with `prefix` and is greater than `after` (NULL: the first
  * with the prefix); NULL if there is none. The row is valid until the next change. */
 const LpRow *
-lp_store_next_row (const LpStore *store, const char *prefix, const char *after)
+lp_store_find_next_row (const LpStore *store, const char *prefix, const char *after)
 {
   size_t i = find_lower_bound_index (store, prefix);
 
--- a/packages/store/tests/test-breaker.c
+++ b/packages/store/tests/test-breaker.c
@@ -75,7 +75,7 @@
     {
       while (lp_pacer_take_token (&pacer, now))
         sent++;
-      LbTime wait = lp_pacer_time_until_next_call (&pacer, now);
+      LbTime wait = lp_pacer_get_time_until_next_call (&pacer, now);
       cr_assert_gt (wait, 0);
       now += wait;
     }
--- a/packages/store/tests/test-follow.c
+++ b/packages/store/tests/test-follow.c
@@ -95,19 +95,19 @@
   FakeStore fake = { .platform.klass = &fake_class };
   LpFollow *follow = lp_follow_new (&fake.platform, &settings, count_delivered_rows, &fake);
 
-  lp_follow_tick (follow, LB_SEC);
-  lp_follow_tick (follow, LB_SEC);
+  lp_follow_start_call_if_due (follow, LB_SEC);
+  lp_follow_start_call_if_due (follow, LB_SEC);
   cr_assert_eq (fake.n_lists, 2);
   answer_oldest_call (&fake, LB_OK, 2, 9);
   cr_assert_not (lp_follow_has_delivered_all_rows (follow));
   answer_oldest_call (&fake, LB_OK, 1, 7);
   cr_assert (lp_follow_has_delivered_all_rows (follow));
   cr_assert_eq (fake.n_rows_delivered, 3);
-  lp_follow_tick (follow, LB_SEC);
+  lp_follow_start_call_if_due (follow, LB_SEC);
   cr_assert_eq (fake.n_watches, 1);
   cr_assert_eq (fake.watched_after, 7);
   answer_oldest_call (&fake, LB_OK, 1, 12);
-  lp_follow_tick (follow, LB_SEC);
+  lp_follow_start_call_if_due (follow, LB_SEC);
   cr_assert_eq (fake.watched_after, 12);
   cr_assert_eq (fake.n_rows_delivered, 4);
   lp_follow_free (follow);
@@ -120,14 +120,14 @@
   FakeStore fake = { .platform.klass = &fake_class };
   LpFollow *follow = lp_follow_new (&fake.platform, &settings, count_delivered_rows, &fake);
 
-  lp_follow_tick (follow, LB_SEC);
+  lp_follow_start_call_if_due (follow, LB_SEC);
   answer_oldest_call (&fake, LB_ERROR_STORE_AWAY, 0, 0);
   answer_oldest_call (&fake, LB_OK, 1, 7);
   cr_assert_not (lp_follow_has_delivered_all_rows (follow));
   LbTime now = lb_clock_monotonic ();
-  lp_follow_tick (follow, now);
+  lp_follow_start_call_if_due (follow, now);
   cr_assert_eq (fake.n_lists, 2, "expected no list before the retry delay has passed");
-  lp_follow_tick (follow, now + settings.retry_delay);
+  lp_follow_start_call_if_due (follow, now + settings.retry_delay);
   cr_assert_eq (fake.n_lists, 4);
   lp_follow_free (follow);
 }
@@ -142,18 +142,18 @@
   LbTime now = lb_clock_monotonic ();
 
   lp_follow_set_list_interval (follow, 5 * LB_SEC, now);
-  lp_follow_tick (follow, now);
+  lp_follow_start_call_if_due (follow, now);
   answer_oldest_call (&fake, LB_OK, 0, 7);
   answer_oldest_call (&fake, LB_OK, 0, 7);
-  lp_follow_tick (follow, now + 4 * LB_SEC);
+  lp_follow_start_call_if_due (follow, now + 4 * LB_SEC);
   cr_assert_eq (fake.n_lists, 2);
-  lp_follow_tick (follow, now + 6 * LB_SEC);
+  lp_follow_start_call_if_due (follow, now + 6 * LB_SEC);
   cr_assert_eq (fake.n_lists, 4);
   cr_assert_eq (fake.n_watches, 0);
   answer_oldest_call (&fake, LB_OK, 1, 9);
   answer_oldest_call (&fake, LB_OK, 1, 9);
   lp_follow_set_list_interval (follow, 0, now);
-  lp_follow_tick (follow, now);
+  lp_follow_start_call_if_due (follow, now);
   cr_assert_eq (fake.n_watches, 1);
   cr_assert_eq (fake.watched_after, 9);
   lp_follow_free (follow);
@@ -167,16 +167,16 @@
   LpFollow *follow = lp_follow_new (&fake.platform, &settings, count_delivered_rows, &fake);
   LbTime later = lb_clock_monotonic () + LB_SEC;
 
-  lp_follow_tick (follow, later);
+  lp_follow_start_call_if_due (follow, later);
   answer_oldest_call (&fake, LB_OK, 0, 7);
   answer_oldest_call (&fake, LB_OK, 0, 7);
-  lp_follow_tick (follow, later);
+  lp_follow_start_call_if_due (follow, later);
   answer_oldest_call (&fake, LB_ERROR_STORE_AWAY, 0, 0);
-  lp_follow_tick (follow, later);
+  lp_follow_start_call_if_due (follow, later);
   cr_assert_eq (fake.n_watches, 2);
   cr_assert_eq (fake.watched_after, 7);
   answer_oldest_call (&fake, LB_ERROR_NOT_FOUND, 0, 0);
-  lp_follow_tick (follow, later);
+  lp_follow_start_call_if_due (follow, later);
   cr_assert_eq (fake.n_lists, 4);
   lp_follow_free (follow);
 }
@@ -190,12 +190,12 @@
 
   history.tries_history = true;
   LpFollow *follow = lp_follow_new (&fake.platform, &history, count_delivered_rows, &fake);
-  lp_follow_tick (follow, LB_SEC);
+  lp_follow_start_call_if_due (follow, LB_SEC);
   cr_assert_eq (fake.n_watches, 1);
   cr_assert_eq (fake.watched_after, 0);
   answer_oldest_call (&fake, LB_OK, 2, 9);
   cr_assert (lp_follow_has_delivered_all_rows (follow));
-  lp_follow_tick (follow, LB_SEC);
+  lp_follow_start_call_if_due (follow, LB_SEC);
   cr_assert_eq (fake.watched_after, 9);
   cr_assert_eq (fake.n_lists, 0);
   lp_follow_free (follow);
@@ -211,10 +211,10 @@
   history.tries_history = true;
   LpFollow *follow = lp_follow_new (&fake.platform, &history, count_delivered_rows, &fake);
   LbTime now = lb_clock_monotonic ();
-  lp_follow_tick (follow, now);
+  lp_follow_start_call_if_due (follow, now);
   answer_oldest_call (&fake, LB_ERROR_NOT_FOUND, 0, 0);
   cr_assert_not (lp_follow_has_delivered_all_rows (follow));
-  lp_follow_tick (follow, now);
+  lp_follow_start_call_if_due (follow, now);
   cr_assert_eq (fake.n_lists, 2);
   lp_follow_free (follow);
 }
@@ -230,12 +230,12 @@
   for (int refused = 1; refused <= 4; refused++)
     {
       LbTime retry = settings.retry_delay << (refused - 1);
-      lp_follow_tick (follow, now);
+      lp_follow_start_call_if_due (follow, now);
       cr_assert_eq (fake.n_lists, 2 * refused);
       now = lb_clock_monotonic ();
       answer_oldest_call (&fake, LB_ERROR_STORE_BUSY, 0, 0);
       answer_oldest_call (&fake, LB_ERROR_STORE_BUSY, 0, 0);
-      lp_follow_tick (follow, now + retry - 1);
+      lp_follow_start_call_if_due (follow, now + retry - 1);
       cr_assert_eq (fake.n_lists, 2 * refused, "expected no retry before the backoff has ended");
       now += 2 * retry + LB_SEC;
     }
@@ -249,16 +249,16 @@
   LpFollow *follow = lp_follow_new (&fake.platform, &settings, count_delivered_rows, &fake);
 
   lp_follow_set_watch_delay (follow, 2 * LB_SEC);
-  lp_follow_tick (follow, LB_SEC);
+  lp_follow_start_call_if_due (follow, LB_SEC);
   answer_oldest_call (&fake, LB_OK, 0, 7);
   answer_oldest_call (&fake, LB_OK, 0, 7);
-  lp_follow_tick (follow, LB_SEC);
+  lp_follow_start_call_if_due (follow, LB_SEC);
   cr_assert_eq (fake.n_watches, 1);
   LbTime now = lb_clock_monotonic ();
   answer_oldest_call (&fake, LB_OK, 1, 8);
-  lp_follow_tick (follow, now + LB_SEC);
+  lp_follow_start_call_if_due (follow, now + LB_SEC);
   cr_assert_eq (fake.n_watches, 1);
-  lp_follow_tick (follow, now + 3 * LB_SEC);
+  lp_follow_start_call_if_due (follow, now + 3 * LB_SEC);
   cr_assert_eq (fake.n_watches, 2);
   lp_follow_free (follow);
 }
--- a/packages/store/tests/test-path.c
+++ b/packages/store/tests/test-path.c
@@ -7,8 +7,8 @@
 static void
 mark_direct_path_down (LpPath *path, LbTime now)
 {
-  lp_path_record_direct_result (path, false, now);
-  lp_path_record_direct_result (path, false, now);
+  lp_path_record_direct_call_result (path, false, now);
+  lp_path_record_direct_call_result (path, false, now);
 }
 
 /* One instance can't reach the store for seven seconds, while other instances can. Its batches
@@ -20,10 +20,10 @@
 
   lp_path_set_peers (&path, peers, 3);
   cr_assert_null (lp_path_choose_peer (&path));
-  lp_path_record_direct_result (&path, false, now);
+  lp_path_record_direct_call_result (&path, false, now);
   cr_assert_null (lp_path_choose_peer (&path),
                   "a single lost answer must not take the direct path down");
-  lp_path_record_direct_result (&path, false, now);
+  lp_path_record_direct_call_result (&path, false, now);
   cr_assert_not_null (lp_path_choose_peer (&path));
 }
 
@@ -68,7 +68,7 @@
 
   lp_path_set_peers (&one, peers, 3);
   lp_path_set_peers (&other, peers, 3);
-  cr_assert_str_neq (lp_path_current_peer (&one), lp_path_current_peer (&other));
+  cr_assert_str_neq (lp_path_get_current_peer (&one), lp_path_get_current_peer (&other));
 }
 
 /* While the direct path is down, only a periodic probe uses it; calls go through a peer. */
@@ -78,17 +78,17 @@
   LbTime now = LB_SEC;
 
   lp_path_set_peers (&path, peers, 3);
-  cr_assert_not (lp_path_start_probe_if_due (&path, now),
+  cr_assert_not (lp_path_schedule_next_probe_if_due (&path, now),
                  "expected no probe while the direct path is up");
   mark_direct_path_down (&path, now);
-  cr_assert_not (lp_path_start_probe_if_due (&path, now));
+  cr_assert_not (lp_path_schedule_next_probe_if_due (&path, now));
   now += LB_SEC;
-  cr_assert (lp_path_start_probe_if_due (&path, now));
-  cr_assert_not (lp_path_start_probe_if_due (&path, now),
+  cr_assert (lp_path_schedule_next_probe_if_due (&path, now));
+  cr_assert_not (lp_path_schedule_next_probe_if_due (&path, now),
                  "expected no second probe within the probe period");
-  lp_path_record_direct_result (&path, false, now);
+  lp_path_record_direct_call_result (&path, false, now);
   cr_assert_not_null (lp_path_choose_peer (&path));
-  lp_path_record_direct_result (&path, true, now);
+  lp_path_record_direct_call_result (&path, true, now);
   cr_assert_null (lp_path_choose_peer (&path),
                   "expected direct calls after the direct path has recovered");
 }
@@ -99,7 +99,7 @@
 
   mark_direct_path_down (&path, LB_SEC);
   cr_assert_null (lp_path_choose_peer (&path));
-  cr_assert_null (lp_path_current_peer (&path));
-  cr_assert_not (lp_path_start_probe_if_due (&path, 9 * LB_SEC),
+  cr_assert_null (lp_path_get_current_peer (&path));
+  cr_assert_not (lp_path_schedule_next_probe_if_due (&path, 9 * LB_SEC),
                  "expected no probe, since calls use the direct path");
 }
--- a/packages/store/tests/test-store.c
+++ b/packages/store/tests/test-store.c
@@ -83,11 +83,11 @@
       snprintf (token, sizeof token, "%zu", i);
       put_if_version (store, token, keys[i], 0, "v", &row);
     }
-  for (const LpRow *next = lp_store_next_row (store, "b/", NULL); next;
-       next = lp_store_next_row (store, "b/", next->key))
+  for (const LpRow *next = lp_store_find_next_row (store, "b/", NULL); next;
+       next = lp_store_find_next_row (store, "b/", next->key))
     cr_assert_str_eq (next->key, expected[n++]);
   cr_assert_eq (n, 3);
-  cr_assert_str_eq (lp_store_next_row (store, "b/", "b/1")->key, "b/10");
+  cr_assert_str_eq (lp_store_find_next_row (store, "b/", "b/1")->key, "b/10");
   lp_store_free (store);
 }
 
--- a/packages/wire/include/lw-frame.h
+++ b/packages/wire/include/lw-frame.h
@@ -17,7 +17,7 @@
 
 typedef struct
 {
-  const uint8_t *body; /* not owned: points into the input of lw_frame_read */
+  const uint8_t *body; /* not owned: points into the input of lw_frame_parse */
   size_t length;       /* size of the body in bytes */
   size_t consumed; /* size of the whole frame; for LW_FRAME_PARTIAL, the least size known so far */
 } LwFrame;
@@ -30,7 +30,7 @@
 } LwFrameResult;
 
 void lw_frame_write_header (uint8_t header[LW_FRAME_HEADER_BYTES], size_t body_length);
-LwFrameResult lw_frame_read (
+LwFrameResult lw_frame_parse (
     const uint8_t *bytes, size_t length, size_t max_body, LwFrame *frame, LbError *error);
 
 #endif
--- a/packages/wire/include/lw-handshake.h
+++ b/packages/wire/include/lw-handshake.h
@@ -26,9 +26,9 @@
 void lw_handshake_build_hello (const LwHandshake *handshake, LwMessage *out);
 /* Handles a message of the peer. Sets *out to the reply to send; out->type is 0 if there is none.
  * Returns false with WRONG_KEY, or with FRAME_GARBLED for an unexpected message. */
-bool lw_handshake_handle_message (LwHandshake *handshake,
-                                  const LwMessage *in,
-                                  LwMessage *out,
-                                  LbError *error);
+bool lw_handshake_verify_and_answer_message (LwHandshake *handshake,
+                                             const LwMessage *in,
+                                             LwMessage *out,
+                                             LbError *error);
 
 #endif
--- a/packages/wire/src/lw-frame.c
+++ b/packages/wire/src/lw-frame.c
@@ -12,7 +12,8 @@
  * FRAME_TOO_LARGE for a body above max_body. Both are detected from the header alone, so that a
  * wrong length never makes the reader wait for or buffer gigabytes. */
 LwFrameResult
-lw_frame_read (const uint8_t *bytes, size_t length, size_t max_body, LwFrame *frame, LbError *error)
+lw_frame_parse (
+    const uint8_t *bytes, size_t length, size_t max_body, LwFrame *frame, LbError *error)
 {
   size_t body = 0;
 
--- a/packages/wire/src/lw-handshake.c
+++ b/packages/wire/src/lw-handshake.c
@@ -111,10 +111,10 @@
 }
 
 bool
-lw_handshake_handle_message (LwHandshake *handshake,
-                             const LwMessage *in,
-                             LwMessage *out,
-                             LbError *error)
+lw_handshake_verify_and_answer_message (LwHandshake *handshake,
+                                        const LwMessage *in,
+                                        LwMessage *out,
+                                        LbError *error)
 {
   memset (out, 0, sizeof *out);
   if (handshake->done)
--- a/packages/wire/tests/test-frames.c
+++ b/packages/wire/tests/test-frames.c
@@ -57,7 +57,7 @@
       LwFrame frame;
       LwMessage decoded;
 
-      cr_assert_eq (lw_frame_read (bytes, length, LW_FRAME_MAX_BODY_BYTES, &frame, NULL),
+      cr_assert_eq (lw_frame_parse (bytes, length, LW_FRAME_MAX_BODY_BYTES, &frame, NULL),
                     LW_FRAME_COMPLETE);
       cr_assert_eq (frame.consumed, length);
       cr_assert (lw_message_decode (frame.body, frame.length, &decoded, NULL),
@@ -66,8 +66,8 @@
       cr_assert_eq (length, reencoded_length);
       cr_assert_eq (memcmp (bytes, reencoded, length), 0);
       for (size_t truncated_length = 0; truncated_length < length; truncated_length++)
-        cr_assert_eq (lw_frame_read (bytes, truncated_length, LW_FRAME_MAX_BODY_BYTES, &frame,
-                                     NULL),
+        cr_assert_eq (lw_frame_parse (bytes, truncated_length, LW_FRAME_MAX_BODY_BYTES, &frame,
+                                      NULL),
                       LW_FRAME_PARTIAL);
       lw_message_clear (&decoded);
       free (bytes);
@@ -86,12 +86,12 @@
 
   lw_frame_write_header (bytes, 100);
   bytes[4]++;
-  cr_assert_eq (lw_frame_read (bytes, sizeof bytes, LW_FRAME_MAX_BODY_BYTES, &frame, &error),
+  cr_assert_eq (lw_frame_parse (bytes, sizeof bytes, LW_FRAME_MAX_BODY_BYTES, &frame, &error),
                 LW_FRAME_INVALID);
   cr_assert_eq (error.code, LB_ERROR_FRAME_VERSION);
   lw_frame_write_header (bytes, LW_FRAME_MAX_UNAUTHENTICATED_BODY_BYTES + 1);
-  cr_assert_eq (lw_frame_read (bytes, sizeof bytes, LW_FRAME_MAX_UNAUTHENTICATED_BODY_BYTES, &frame,
-                               &error),
+  cr_assert_eq (lw_frame_parse (bytes, sizeof bytes, LW_FRAME_MAX_UNAUTHENTICATED_BODY_BYTES,
+                                &frame, &error),
                 LW_FRAME_INVALID);
   cr_assert_eq (error.code, LB_ERROR_FRAME_TOO_LARGE);
 }
@@ -202,21 +202,22 @@
 static bool
 deliver_hello_to_acceptor (HandshakePair *pair)
 {
-  return lw_handshake_handle_message (&pair->acceptor, &pair->hello, &pair->challenge,
-                                      &pair->error);
+  return lw_handshake_verify_and_answer_message (&pair->acceptor, &pair->hello, &pair->challenge,
+                                                 &pair->error);
 }
 
 static bool
 deliver_challenge_to_dialler (HandshakePair *pair)
 {
-  return lw_handshake_handle_message (&pair->dialler, &pair->challenge, &pair->proof, &pair->error);
+  return lw_handshake_verify_and_answer_message (&pair->dialler, &pair->challenge, &pair->proof,
+                                                 &pair->error);
 }
 
 static bool
 deliver_proof_to_acceptor (HandshakePair *pair)
 {
-  return lw_handshake_handle_message (&pair->acceptor, &pair->proof, &pair->no_message,
-                                      &pair->error);
+  return lw_handshake_verify_and_answer_message (&pair->acceptor, &pair->proof, &pair->no_message,
+                                                 &pair->error);
 }
 
 Test (handshake, both_ends_learn_the_peers_instance)
@@ -276,8 +277,8 @@
   LwMessage ping = { .type = LW_PING };
 
   handshake_pair_init (&pair, "key", "key");
-  cr_assert_not (
-      lw_handshake_handle_message (&pair.acceptor, &ping, &pair.no_message, &pair.error));
+  cr_assert_not (lw_handshake_verify_and_answer_message (&pair.acceptor, &ping, &pair.no_message,
+                                                         &pair.error));
   cr_assert_eq (pair.error.code, LB_ERROR_FRAME_GARBLED);
   pair.proof.type = LW_PROOF;
   cr_assert_not (deliver_proof_to_acceptor (&pair));
--- a/standins/si-checked-call.c
+++ b/standins/si-checked-call.c
@@ -107,7 +107,7 @@
   if (call->result.time_to_first_byte == 0)
     call->result.time_to_first_byte = lb_clock_monotonic () - call->start;
   if (call->stream && lh_fetch_get_response_status (fetch) == 200)
-    lh_sse_feed (&call->sse, bytes, length, on_sse_event, call, &error);
+    lh_sse_parse_data_lines (&call->sse, bytes, length, on_sse_event, call, &error);
   else
     append_to_string (&call->body, &call->body_length, bytes, length);
 }
--- a/standins/si-control-plane.c
+++ b/standins/si-control-plane.c
@@ -80,13 +80,13 @@
                                      si_request_get_header (request, "Fence-Token"));
   struct json_object *body = si_request_parse_body (request);
 
-  if (status == 200 && si_request_matches (request, EVHTTP_REQ_POST, "/usage"))
+  if (status == 200 && si_request_has_method_and_path (request, EVHTTP_REQ_POST, "/usage"))
     record_usage_report (control_plane, duty_holder ? duty_holder : "", body);
-  else if (status == 200 && si_request_matches (request, EVHTTP_REQ_POST, "/scale"))
+  else if (status == 200 && si_request_has_method_and_path (request, EVHTTP_REQ_POST, "/scale"))
     record_scale_order (control_plane, body);
   json_object_put (body);
   if (control_plane->mode == SI_CONTROL_PLANE_LOSES_REPLY)
-    si_reply_abort (request);
+    si_request_close_connection (request);
   else
     evhttp_send_reply (request, status, NULL, NULL);
 }
--- a/standins/si-endpoint.c
+++ b/standins/si-endpoint.c
@@ -70,7 +70,7 @@
   Stream *stream = user;
 
   stream->endpoint->cancelled_streams++;
-  si_request_free_if_detached (stream->request);
+  si_request_free_if_connection_closed (stream->request);
   stream_free (stream);
 }
 
@@ -263,7 +263,7 @@
   (void)connection;
   PendingCall *call = user;
 
-  si_request_free_if_detached (call->request);
+  si_request_free_if_connection_closed (call->request);
   pending_call_free (call);
 }
 
@@ -429,9 +429,9 @@
       endpoint->misdirected_requests++;
       evhttp_send_reply (request, 421, NULL, NULL);
     }
-  else if (si_request_matches (request, EVHTTP_REQ_POST, "/-/order"))
+  else if (si_request_has_method_and_path (request, EVHTTP_REQ_POST, "/-/order"))
     handle_weight_order (endpoint, request);
-  else if (si_request_matches (request, EVHTTP_REQ_GET, "/-/report"))
+  else if (si_request_has_method_and_path (request, EVHTTP_REQ_GET, "/-/report"))
     reply_status_report (endpoint, request);
   else
     handle_stream_or_call_request (endpoint, request);
@@ -464,7 +464,7 @@
 void
 si_endpoint_restart (SiEndpoint *endpoint)
 {
-  si_endpoint_break_streams (endpoint);
+  si_endpoint_close_stream_connections (endpoint);
   endpoint->start_ms++;
   endpoint->accepted_orders = 0;
   endpoint->last_fence = 0;
@@ -480,7 +480,7 @@
 }
 
 void
-si_endpoint_break_streams (SiEndpoint *endpoint)
+si_endpoint_close_stream_connections (SiEndpoint *endpoint)
 {
   LB_LIST_FOREACH (&endpoint->streams, Stream, link, stream)
   {
--- a/standins/si-endpoint.h
+++ b/standins/si-endpoint.h
@@ -94,6 +94,6 @@
  * resets the order count and the fencing token. */
 void si_endpoint_restart (SiEndpoint *endpoint);
 /* Closes the connections of all streams, as the exit of the process would. */
-void si_endpoint_break_streams (SiEndpoint *endpoint);
+void si_endpoint_close_stream_connections (SiEndpoint *endpoint);
 
 #endif
--- a/standins/si-engine-orders.c
+++ b/standins/si-engine-orders.c
@@ -34,7 +34,7 @@
 
   engine->loading_version = 0;
   si_cache_evict_all_blocks (&engine->cache);
-  if (si_faults_consume (&engine->faults, SI_FAULT_FAIL_SWAP))
+  if (si_faults_consume_occurrence (&engine->faults, SI_FAULT_FAIL_SWAP))
     {
       engine->failed_version = version;
       si_engine_abort_all_completions (engine);
--- a/standins/si-engine-run.c
+++ b/standins/si-engine-run.c
@@ -66,7 +66,7 @@
   SiEngine *engine = completion->engine;
 
   engine->log.cancelled++;
-  si_request_free_if_detached (completion->request);
+  si_request_free_if_connection_closed (completion->request);
   completion_free (completion);
   si_engine_schedule_batch_step (engine);
 }
@@ -78,7 +78,7 @@
 
   clear_close_callback (completion);
   completion_free (completion);
-  si_reply_abort (request);
+  si_request_close_connection (request);
 }
 
 void
@@ -357,7 +357,7 @@
 }
 
 void
-si_engine_free_timers_and_imports (SiEngine *engine)
+si_engine_free_timers_and_kv_imports (SiEngine *engine)
 {
   SiImport *import, *next;
 
@@ -436,9 +436,9 @@
   SiFaults *faults = &completion->engine->faults;
 
   completion->break_after = -1;
-  if (si_faults_consume (faults, SI_FAULT_BREAK))
+  if (si_faults_consume_occurrence (faults, SI_FAULT_BREAK))
     completion->break_after = faults->faults[SI_FAULT_BREAK].tokens;
-  completion->is_hung = si_faults_consume (faults, SI_FAULT_HANG);
+  completion->is_hung = si_faults_consume_occurrence (faults, SI_FAULT_HANG);
 }
 
 /* Adds the prompt to the prefix cache; returns how many prompt bytes were not cached before. */
@@ -476,7 +476,7 @@
   apply_resume_offset (completion, body);
   apply_imported_kv_cache (completion);
   apply_break_and_hang_faults (completion);
-  si_run_log_record_start (&engine->log, si_json_get_text (body, "key", prompt));
+  si_run_log_count_execution (&engine->log, si_json_get_text (body, "key", prompt));
   free (prompt);
   return completion;
 }
@@ -488,7 +488,7 @@
   struct json_object *body = si_request_parse_body (request);
   const char *refusal = get_refusal_error_type (engine);
 
-  if (!refusal && si_faults_consume (&engine->faults, SI_FAULT_REFUSE))
+  if (!refusal && si_faults_consume_occurrence (&engine->faults, SI_FAULT_REFUSE))
     refusal = "not_started";
   if (!body)
     si_reply_error (request, 400, "bad_json");
--- a/standins/si-engine.c
+++ b/standins/si-engine.c
@@ -76,20 +76,20 @@
 {
   SiEngine *engine = user;
 
-  if (si_request_matches (request, EVHTTP_REQ_POST, "/faults"))
+  if (si_request_has_method_and_path (request, EVHTTP_REQ_POST, "/faults"))
     {
-      si_faults_handle_request (&engine->faults, request);
+      si_faults_set_from_request (&engine->faults, request);
       if (si_faults_is_on (&engine->faults, SI_FAULT_CRASH)
           && engine->faults.faults[SI_FAULT_CRASH].tokens == 0)
         _exit (1);
     }
-  else if (si_request_matches (request, EVHTTP_REQ_GET, "/log"))
+  else if (si_request_has_method_and_path (request, EVHTTP_REQ_GET, "/log"))
     reply_run_log (engine, request);
   else if (si_faults_is_on (&engine->faults, SI_FAULT_DOWN))
-    si_reply_abort (request);
-  else if (si_request_matches (request, EVHTTP_REQ_GET, "/load"))
+    si_request_close_connection (request);
+  else if (si_request_has_method_and_path (request, EVHTTP_REQ_GET, "/load"))
     reply_load_report (engine, request);
-  else if (si_request_matches (request, EVHTTP_REQ_GET, "/cache_events"))
+  else if (si_request_has_method_and_path (request, EVHTTP_REQ_GET, "/cache_events"))
     reply_cache_events (engine, request);
   else if (evhttp_request_get_command (request) == EVHTTP_REQ_POST)
     route_post_request (engine, request);
@@ -119,7 +119,7 @@
 si_engine_clear (SiEngine *engine)
 {
   si_engine_abort_all_completions (engine);
-  si_engine_free_timers_and_imports (engine);
+  si_engine_free_timers_and_kv_imports (engine);
   si_server_clear (&engine->server);
   si_cache_clear (&engine->cache);
   si_run_log_clear (&engine->log);
--- a/standins/si-engine.h
+++ b/standins/si-engine.h
@@ -56,7 +56,7 @@
 void si_engine_schedule_batch_step (SiEngine *engine);
 void si_engine_abort_all_completions (SiEngine *engine);
 void si_engine_start_timers (SiEngine *engine);
-void si_engine_free_timers_and_imports (SiEngine *engine);
+void si_engine_free_timers_and_kv_imports (SiEngine *engine);
 void si_engine_handle_kv_export (SiEngine *engine, struct evhttp_request *request);
 void si_engine_handle_kv_import (SiEngine *engine, struct evhttp_request *request);
 
--- a/standins/si-faults.c
+++ b/standins/si-faults.c
@@ -43,7 +43,7 @@
 }
 
 void
-si_faults_handle_request (SiFaults *faults, struct evhttp_request *request)
+si_faults_set_from_request (SiFaults *faults, struct evhttp_request *request)
 {
   struct json_object *settings = si_request_parse_body (request);
 
@@ -61,7 +61,7 @@
 }
 
 bool
-si_faults_consume (SiFaults *faults, SiFaultMode mode)
+si_faults_consume_occurrence (SiFaults *faults, SiFaultMode mode)
 {
   SiFault *fault = &faults->faults[mode];
 
@@ -73,9 +73,10 @@
 }
 
 bool
-si_faults_consume_at_path (SiFaults *faults, SiFaultMode mode, const char *path)
+si_faults_consume_occurrence_at_path (SiFaults *faults, SiFaultMode mode, const char *path)
 {
   const char *path_prefix = faults->faults[mode].path_prefix;
 
-  return strncmp (path, path_prefix, strlen (path_prefix)) == 0 && si_faults_consume (faults, mode);
+  return strncmp (path, path_prefix, strlen (path_prefix)) == 0
+         && si_faults_consume_occurrence (faults, mode);
 }
--- a/standins/si-faults.h
+++ b/standins/si-faults.h
@@ -41,10 +41,10 @@
  * faults. Returns false for an unknown mode. */
 bool si_faults_set (SiFaults *faults, struct json_object *settings);
 /* Handles POST /faults: sets the fault in the body, or replies with 400 if the body is invalid. */
-void si_faults_handle_request (SiFaults *faults, struct evhttp_request *request);
+void si_faults_set_from_request (SiFaults *faults, struct evhttp_request *request);
 bool si_faults_is_on (const SiFaults *faults, SiFaultMode mode);
 /* Returns whether the fault is on and, if so, reduces the number of times it still applies. */
-bool si_faults_consume (SiFaults *faults, SiFaultMode mode);
-bool si_faults_consume_at_path (SiFaults *faults, SiFaultMode mode, const char *path);
+bool si_faults_consume_occurrence (SiFaults *faults, SiFaultMode mode);
+bool si_faults_consume_occurrence_at_path (SiFaults *faults, SiFaultMode mode, const char *path);
 
 #endif
--- a/standins/si-platform.c
+++ b/standins/si-platform.c
@@ -25,7 +25,7 @@
   (void)connection;
   DelayedReply *delayed = user;
 
-  si_request_free_if_detached (delayed->request);
+  si_request_free_if_connection_closed (delayed->request);
   delayed->request = NULL;
 }
 
@@ -56,13 +56,13 @@
 {
   const char *path = si_request_get_path (request);
 
-  if (si_faults_consume_at_path (&platform->faults, SI_FAULT_LOSE_REPLY, path))
+  if (si_faults_consume_occurrence_at_path (&platform->faults, SI_FAULT_LOSE_REPLY, path))
     {
       json_object_put (reply);
-      si_reply_abort (request);
+      si_request_close_connection (request);
       return;
     }
-  if (!si_faults_consume_at_path (&platform->faults, SI_FAULT_SLOW, path))
+  if (!si_faults_consume_occurrence_at_path (&platform->faults, SI_FAULT_SLOW, path))
     {
       si_reply_json (request, status, reply);
       return;
@@ -273,15 +273,15 @@
   static const char objects_path[] = "/objects/";
   const char *path = si_request_get_path (request);
 
-  if (si_request_matches (request, EVHTTP_REQ_POST, "/table/transact"))
+  if (si_request_has_method_and_path (request, EVHTTP_REQ_POST, "/table/transact"))
     handle_table_transaction (platform, request);
-  else if (si_request_matches (request, EVHTTP_REQ_GET, "/table/row"))
+  else if (si_request_has_method_and_path (request, EVHTTP_REQ_GET, "/table/row"))
     handle_get_table_row (platform, request);
-  else if (si_request_matches (request, EVHTTP_REQ_GET, "/table/scan"))
+  else if (si_request_has_method_and_path (request, EVHTTP_REQ_GET, "/table/scan"))
     handle_table_scan (platform, request);
-  else if (si_request_matches (request, EVHTTP_REQ_GET, "/instances"))
+  else if (si_request_has_method_and_path (request, EVHTTP_REQ_GET, "/instances"))
     handle_get_instances (platform, request);
-  else if (si_request_matches (request, EVHTTP_REQ_GET, "/weights"))
+  else if (si_request_has_method_and_path (request, EVHTTP_REQ_GET, "/weights"))
     handle_get_weights (platform, request);
   else if (strncmp (path, objects_path, sizeof objects_path - 1) == 0)
     route_object_request (platform, request, path + sizeof objects_path - 1);
@@ -295,11 +295,11 @@
   const char *path = si_request_get_path (request);
 
   platform->received++;
-  if (si_faults_consume_at_path (&platform->faults, SI_FAULT_DOWN, path))
-    si_reply_abort (request);
-  else if (si_faults_consume_at_path (&platform->faults, SI_FAULT_HANG, path))
+  if (si_faults_consume_occurrence_at_path (&platform->faults, SI_FAULT_DOWN, path))
+    si_request_close_connection (request);
+  else if (si_faults_consume_occurrence_at_path (&platform->faults, SI_FAULT_HANG, path))
     return;
-  else if (si_faults_consume_at_path (&platform->faults, SI_FAULT_BUSY, path)
+  else if (si_faults_consume_occurrence_at_path (&platform->faults, SI_FAULT_BUSY, path)
            || is_rate_limit_exceeded (platform))
     {
       platform->rejected_busy++;
@@ -317,11 +317,11 @@
 {
   SiPlatform *platform = user;
 
-  if (si_request_matches (request, EVHTTP_REQ_POST, "/faults"))
-    si_faults_handle_request (&platform->faults, request);
-  else if (si_request_matches (request, EVHTTP_REQ_POST, "/control"))
+  if (si_request_has_method_and_path (request, EVHTTP_REQ_POST, "/faults"))
+    si_faults_set_from_request (&platform->faults, request);
+  else if (si_request_has_method_and_path (request, EVHTTP_REQ_POST, "/control"))
     handle_control_settings (platform, request);
-  else if (si_request_matches (request, EVHTTP_REQ_GET, "/log"))
+  else if (si_request_has_method_and_path (request, EVHTTP_REQ_GET, "/log"))
     reply_call_counters (platform, request);
   else
     reject_or_route_api_call (platform, request);
--- a/standins/si-row-store.c
+++ b/standins/si-row-store.c
@@ -249,10 +249,10 @@
     {
       if (--store->lost_replies == 0 && store->unavailable_after_lost_replies)
         store->mode = SI_ROW_STORE_UNAVAILABLE;
-      si_reply_abort (request);
+      si_request_close_connection (request);
     }
   else if (store->mode == SI_ROW_STORE_LOSES_REPLY)
-    si_reply_abort (request);
+    si_request_close_connection (request);
   else
     {
       struct json_object *reply = new_versioned_reply (store);
@@ -352,7 +352,7 @@
   (void)connection;
   Watch *watch = user;
 
-  si_request_free_if_detached (watch->request);
+  si_request_free_if_connection_closed (watch->request);
   lb_list_remove (&watch->store->watches, &watch->link);
   free (watch->table);
   free (watch);
--- a/standins/si-run-log.c
+++ b/standins/si-run-log.c
@@ -28,7 +28,7 @@
 }
 
 int64_t
-si_run_log_record_start (SiRunLog *log, const char *key)
+si_run_log_count_execution (SiRunLog *log, const char *key)
 {
   SiRunCount *count = NULL;
 
--- a/standins/si-run-log.h
+++ b/standins/si-run-log.h
@@ -23,7 +23,7 @@
 
 void si_run_log_clear (SiRunLog *log);
 /* Counts one more execution of the key's request; returns the key's number of executions. */
-int64_t si_run_log_record_start (SiRunLog *log, const char *key);
+int64_t si_run_log_count_execution (SiRunLog *log, const char *key);
 struct json_object *si_run_log_to_json (const SiRunLog *log);
 
 #endif
--- a/standins/si-server.c
+++ b/standins/si-server.c
@@ -145,7 +145,9 @@
 }
 
 bool
-si_request_matches (struct evhttp_request *request, enum evhttp_cmd_type method, const char *path)
+si_request_has_method_and_path (struct evhttp_request *request,
+                                enum evhttp_cmd_type method,
+                                const char *path)
 {
   return evhttp_request_get_command (request) == method
          && strcmp (si_request_get_path (request), path) == 0;
@@ -234,14 +236,14 @@
 
 /* evhttp does not free an unanswered request whose connection closed; the handler must free it. */
 void
-si_request_free_if_detached (struct evhttp_request *request)
+si_request_free_if_connection_closed (struct evhttp_request *request)
 {
   if (!evhttp_request_get_connection (request))
     evhttp_request_free (request);
 }
 
 void
-si_reply_abort (struct evhttp_request *request)
+si_request_close_connection (struct evhttp_request *request)
 {
   struct evhttp_connection *connection = evhttp_request_get_connection (request);
 
--- a/standins/si-server.h
+++ b/standins/si-server.h
@@ -38,8 +38,9 @@
 /* Prints the name and the server's address to stdout as one line of JSON for the parent process. */
 void si_server_print_address (const SiServer *server, const char *name);
 
-bool
-si_request_matches (struct evhttp_request *request, enum evhttp_cmd_type method, const char *path);
+bool si_request_has_method_and_path (struct evhttp_request *request,
+                                     enum evhttp_cmd_type method,
+                                     const char *path);
 const char *si_request_get_path (struct evhttp_request *request);
 const char *si_request_get_header (struct evhttp_request *request, const char *name);
 /* Returns the decoded value of a query parameter, NULL if absent; the caller frees the string. */
@@ -53,8 +54,8 @@
 void si_reply_json (struct evhttp_request *request, int status, struct json_object *object);
 void si_reply_error (struct evhttp_request *request, int status, const char *type);
 /* Must be called when the connection of an unanswered request has closed. */
-void si_request_free_if_detached (struct evhttp_request *request);
+void si_request_free_if_connection_closed (struct evhttp_request *request);
 /* Closes the request's connection without a reply or in the middle of a reply. */
-void si_reply_abort (struct evhttp_request *request);
+void si_request_close_connection (struct evhttp_request *request);
 
 #endif
--- a/standins/si-table.c
+++ b/standins/si-table.c
@@ -121,12 +121,12 @@
 {
   struct json_object *reply = json_object_new_object ();
   struct json_object *rows = json_object_new_array ();
-  const LpRow *row = lp_store_next_row (store, prefix, after);
+  const LpRow *row = lp_store_find_next_row (store, prefix, after);
 
   for (; row && limit > 0; limit--)
     {
       json_object_array_add (rows, row_to_json (row));
-      row = lp_store_next_row (store, prefix, row->key);
+      row = lp_store_find_next_row (store, prefix, row->key);
     }
   json_object_object_add (reply, "rows", rows);
   return reply;
--- a/standins/standin-service.c
+++ b/standins/standin-service.c
@@ -48,7 +48,7 @@
   evhttp_connection_set_closecb (evhttp_request_get_connection (call->request), NULL, NULL);
   if (call->loses_reply)
     {
-      si_reply_abort (call->request);
+      si_request_close_connection (call->request);
       json_object_put (call->reply);
     }
   else
@@ -63,7 +63,7 @@
   (void)connection;
   Call *call = user;
 
-  si_request_free_if_detached (call->request);
+  si_request_free_if_connection_closed (call->request);
   call->service->n_running_calls--;
   call->service->log.cancelled++;
   json_object_put (call->reply);
@@ -77,12 +77,12 @@
   Call *call = LB_NEW (Call);
   LbTime wait = service->call_latency;
 
-  if (si_faults_consume (&service->faults, SI_FAULT_SLOW))
+  if (si_faults_consume_occurrence (&service->faults, SI_FAULT_SLOW))
     wait += service->faults.faults[SI_FAULT_SLOW].delay;
   call->service = service;
   call->request = request;
   call->reply = reply;
-  call->loses_reply = si_faults_consume (&service->faults, SI_FAULT_LOSE_REPLY);
+  call->loses_reply = si_faults_consume_occurrence (&service->faults, SI_FAULT_LOSE_REPLY);
   call->timer = evtimer_new (service->server.base, on_reply_due, call);
   service->n_running_calls++;
   evhttp_connection_set_closecb (evhttp_request_get_connection (request), on_caller_disconnected,
@@ -125,14 +125,14 @@
   char *body = si_request_copy_body (request);
   const char *order = si_request_get_header (request, "x-order");
   const char *key = order ? order : body;
-  int64_t runs = si_run_log_record_start (&service->log, key);
+  int64_t runs = si_run_log_count_execution (&service->log, key);
 
   bool is_fatal = service->crash_on[0] && strcmp (body, service->crash_on) == 0;
-  if (is_fatal || si_faults_consume (&service->faults, SI_FAULT_CRASH))
+  if (is_fatal || si_faults_consume_occurrence (&service->faults, SI_FAULT_CRASH))
     _exit (1);
-  if (si_request_matches (request, EVHTTP_REQ_POST, "/score"))
+  if (si_request_has_method_and_path (request, EVHTTP_REQ_POST, "/score"))
     schedule_reply (service, request, new_score_reply (body));
-  else if (!si_faults_consume (&service->faults, SI_FAULT_HANG))
+  else if (!si_faults_consume_occurrence (&service->faults, SI_FAULT_HANG))
     schedule_reply (service, request, new_echo_reply (request, body, key, runs));
   free (body);
 }
@@ -157,7 +157,7 @@
   if (si_faults_is_on (&service->faults, SI_FAULT_LEAVING))
     return "leaving";
   if (service->n_running_calls >= service->concurrency
-      || si_faults_consume (&service->faults, SI_FAULT_REFUSE))
+      || si_faults_consume_occurrence (&service->faults, SI_FAULT_REFUSE))
     return "not_started";
   return NULL;
 }
@@ -168,13 +168,13 @@
   Service *service = user;
   const char *refusal;
 
-  if (si_request_matches (request, EVHTTP_REQ_POST, "/faults"))
-    si_faults_handle_request (&service->faults, request);
-  else if (si_request_matches (request, EVHTTP_REQ_GET, "/log"))
+  if (si_request_has_method_and_path (request, EVHTTP_REQ_POST, "/faults"))
+    si_faults_set_from_request (&service->faults, request);
+  else if (si_request_has_method_and_path (request, EVHTTP_REQ_GET, "/log"))
     si_reply_json (request, 200, si_run_log_to_json (&service->log));
   else if (si_faults_is_on (&service->faults, SI_FAULT_DOWN))
-    si_reply_abort (request);
-  else if (si_request_matches (request, EVHTTP_REQ_GET, "/load"))
+    si_request_close_connection (request);
+  else if (si_request_has_method_and_path (request, EVHTTP_REQ_GET, "/load"))
     reply_load_report (service, request);
   else if ((refusal = get_refusal_error_type (service)))
     {
--- a/tests/soak/sk-world.c
+++ b/tests/soak/sk-world.c
@@ -568,7 +568,7 @@
   endpoint->exit_at = LB_TIME_NEVER;
   endpoint->return_at
       = return_after == LB_TIME_NEVER ? LB_TIME_NEVER : lb_clock_monotonic () + return_after;
-  si_endpoint_break_streams (&endpoint->standin);
+  si_endpoint_close_stream_connections (&endpoint->standin);
   si_endpoint_unregister (&endpoint->standin);
   pt_relay_reset_connections (&endpoint->relay);
 }
