--- a/packages/store/include/lp-path.h
+++ b/packages/store/include/lp-path.h
@@ -8,11 +8,11 @@
 #define LP_PEER_METHOD_HEADER "x-store-method"
 #define LP_PEER_PATH_HEADER "x-store-path"
 
-/* Chooses how an instance reaches the store: directly, or through a peer instance. Calls go through
- * a peer while the direct path is down, or while the store refuses this instance only. No I/O. */
-
+/* largest number of peers that an LpPath keeps */
 #define LP_MAX_PEERS 64
 
+/* Chooses how an instance reaches the store: directly, or through a peer instance. Calls go through
+ * a peer while the direct path is down, or while the store refuses this instance only. No I/O. */
 typedef struct
 {
   LbName peers[LP_MAX_PEERS];
@@ -24,7 +24,8 @@
   LbTime direct_success_at; /* time of the last answer over the direct path; 0: none yet */
 } LpPath;
 
-/* Sets the peers: addresses of the other live instances, of which LP_MAX_PEERS are kept. */
+/* Sets the peers: addresses of the other live instances, of which the first
+ * LP_MAX_PEERS are kept. */
 void lp_path_set_peers (LpPath *path, const LbName *peers, size_t n_peers);
 /* Address of the peer to send the next call to; NULL: call the store directly. */
 const char *lp_path_choose_peer (const LpPath *path);
@@ -34,7 +35,8 @@
 void lp_path_record_direct_call_result (LpPath *path, bool answered, LbTime now);
 /* Records that a call through this peer got no answer from the store. */
 void lp_path_record_peer_failure (LpPath *path, const char *peer);
-/* Returns whether a probe of the direct path is due, and if so schedules the next probe. */
+/* Returns whether a probe of the direct path is due, and if so schedules the probe after it. The
+ * caller sends the probe. */
 bool lp_path_schedule_next_probe_if_due (LpPath *path, LbTime now);
 /* Whether the store has answered a direct call at or after `since`. */
 bool lp_path_has_direct_answer_since (const LpPath *path, LbTime since);
--- a/packages/store/include/lp-platform.h
+++ b/packages/store/include/lp-platform.h
@@ -92,7 +92,7 @@
 /* Receives the changed rows in order; a row whose value is NULL was deleted. LB_ERROR_NOT_FOUND:
  * the store no longer has all changes after the watched version, so the rows must be listed. */
 typedef LpListDone LpWatchDone;
-/* Receives the result of a call executed for a peer, see execute_peer_call. */
+/* Receives the result of a store call that this instance executed for a peer instance. */
 typedef void (*LpPeerCallDone) (
     LbErrorCode error, int status, const char *body, size_t length, void *user);
 
--- a/packages/store/src/lp-breaker.c
+++ b/packages/store/src/lp-breaker.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-#define FAILURES_TO_OPEN 5
-#define FIRST_OPEN_DURATION (200 * LB_MSEC)
-#define MAX_OPEN_DURATION (2 * LB_SEC)
+#define CONSECUTIVE_FAILURES_TO_OPEN 5
+#define FIRST_BREAKER_OPEN_DURATION (200 * LB_MSEC)
+#define MAX_BREAKER_OPEN_DURATION (2 * LB_SEC)
 
 void
 lp_breaker_init (LpBreaker *breaker)
@@ -39,10 +39,12 @@
   breaker->failures++;
   if (lp_breaker_is_open (breaker) && !breaker->is_probing)
     return false;
-  if (breaker->failures < FAILURES_TO_OPEN && !breaker->is_probing)
+  if (breaker->failures < CONSECUTIVE_FAILURES_TO_OPEN && !breaker->is_probing)
     return false;
-  LbTime duration = breaker->open_duration > 0 ? breaker->open_duration * 2 : FIRST_OPEN_DURATION;
-  breaker->open_duration = duration < MAX_OPEN_DURATION ? duration : MAX_OPEN_DURATION;
+  LbTime duration
+      = breaker->open_duration > 0 ? breaker->open_duration * 2 : FIRST_BREAKER_OPEN_DURATION;
+  breaker->open_duration
+      = duration < MAX_BREAKER_OPEN_DURATION ? duration : MAX_BREAKER_OPEN_DURATION;
   breaker->open_until
       = now + breaker->open_duration / 2 + (LbTime)(jitter * (double)breaker->open_duration / 2);
   breaker->is_probing = false;
--- a/packages/store/src/lp-client.c
+++ b/packages/store/src/lp-client.c
@@ -17,8 +17,8 @@
 
 #define N_PRIORITIES (LP_PRIORITY_STATUS + 1)
 #define ATTEMPTS_PER_DEADLINE 3 /* a call's deadline divided by the timeout of one attempt */
-#define BASE_BACKOFF (20 * LB_MSEC)
-#define MAX_BACKOFF (500 * LB_MSEC)
+#define BASE_RETRY_BACKOFF (20 * LB_MSEC)
+#define MAX_RETRY_BACKOFF (500 * LB_MSEC)
 #define MAX_CALLS_IN_FLIGHT 128
 
 struct LpClient
@@ -77,7 +77,7 @@
     = LB_GAUGE_INIT ("lentilspindle_store_calls_waiting", NULL, "Store calls waiting to be sent.");
 
 static void
-move_to_list (Call *call, LbList *list)
+move_call_to_list (Call *call, LbList *list)
 {
   if (call->list)
     lb_list_remove (call->list, &call->link);
@@ -89,7 +89,7 @@
 static void
 call_free (Call *call)
 {
-  move_to_list (call, NULL);
+  move_call_to_list (call, NULL);
   event_free (call->deadline_timer);
   event_free (call->backoff_timer);
   free (call->method);
@@ -101,7 +101,7 @@
 static void
 finish_call (Call *call, LbErrorCode error, int status, const char *body, size_t length)
 {
-  move_to_list (call, NULL);
+  move_call_to_list (call, NULL);
   call->done (error, status, body, length, call->user);
   call_free (call);
 }
@@ -123,7 +123,7 @@
 }
 
 static void
-schedule_sending (LpClient *client, LbTime delay)
+schedule_sending_waiting_calls (LpClient *client, LbTime delay)
 {
   const struct timeval at = lb_time_to_timeval (delay);
 
@@ -133,8 +133,8 @@
 static void
 enqueue_call (Call *call)
 {
-  move_to_list (call, &call->client->waiting[call->priority]);
-  schedule_sending (call->client, 0);
+  move_call_to_list (call, &call->client->waiting[call->priority]);
+  schedule_sending_waiting_calls (call->client, 0);
 }
 
 static void
@@ -164,10 +164,10 @@
 retry_or_fail_call (Call *call)
 {
   LpClient *client = call->client;
-  LbTime max_backoff = BASE_BACKOFF << (call->attempts < 6 ? call->attempts : 6);
+  LbTime max_backoff = BASE_RETRY_BACKOFF << (call->attempts < 6 ? call->attempts : 6);
 
-  if (max_backoff > MAX_BACKOFF)
-    max_backoff = MAX_BACKOFF;
+  if (max_backoff > MAX_RETRY_BACKOFF)
+    max_backoff = MAX_RETRY_BACKOFF;
   LbTime backoff = (LbTime)(gsl_rng_uniform (client->rng) * (double)max_backoff) + 1;
   if (lb_clock_monotonic () + backoff >= call->deadline)
     {
@@ -175,12 +175,12 @@
       return;
     }
   const struct timeval at = lb_time_to_timeval (backoff);
-  move_to_list (call, &client->backing_off);
+  move_call_to_list (call, &client->backing_off);
   event_add (call->backoff_timer, &at);
 }
 
 static void
-on_backoff_end (evutil_socket_t fd, short what, void *user)
+on_call_backoff_end (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -199,7 +199,7 @@
 }
 
 static void
-finish_or_retry_by_status (Call *call, const LhResult *result)
+finish_or_retry_call_by_status (Call *call, const LhResult *result)
 {
   if (result->status < 500)
     {
@@ -224,7 +224,7 @@
  * therefore uses a new connection. Idle connections to this address may be dead too, so they are
  * closed. */
 static void
-retry_after_failed_attempt (Call *call, const LhResult *result)
+retry_call_after_failed_attempt (Call *call, const LhResult *result)
 {
   LpClient *client = call->client;
 
@@ -246,10 +246,10 @@
 
   call->fetch = NULL;
   if (result->failure == LB_OK)
-    finish_or_retry_by_status (call, result);
+    finish_or_retry_call_by_status (call, result);
   else
-    retry_after_failed_attempt (call, result);
-  schedule_sending (client, 0);
+    retry_call_after_failed_attempt (call, result);
+  schedule_sending_waiting_calls (client, 0);
 }
 
 static void
@@ -270,7 +270,7 @@
   else if (call->attempts == 0)
     call->was_rate_limited = true;
   fail_call (call);
-  schedule_sending (client, 0);
+  schedule_sending_waiting_calls (client, 0);
 }
 
 static void
@@ -290,7 +290,7 @@
                               .fresh_connection = call->needs_new_connection };
   LbError error;
 
-  move_to_list (call, &client->in_flight);
+  move_call_to_list (call, &client->in_flight);
   lb_metric_add (&attempts_total, 1);
   if (call->attempts++ > 0)
     lb_metric_add (&retries_total, 1);
@@ -303,7 +303,7 @@
 }
 
 static Call *
-find_next_waiting_call (const LpClient *client)
+find_most_urgent_waiting_call (const LpClient *client)
 {
   for (size_t i = 0; i < N_PRIORITIES; i++)
     if (!lb_list_is_empty (&client->waiting[i]))
@@ -329,13 +329,14 @@
   LpClient *client = user;
   Call *call;
 
-  while (client->in_flight.length < MAX_CALLS_IN_FLIGHT && (call = find_next_waiting_call (client)))
+  while (client->in_flight.length < MAX_CALLS_IN_FLIGHT
+         && (call = find_most_urgent_waiting_call (client)))
     {
       LbTime now = lb_clock_monotonic ();
       LbTime delay = lp_pacer_get_time_until_next_call (&client->pacer, now);
       if (delay > 0)
         {
-          schedule_sending (client, delay);
+          schedule_sending_waiting_calls (client, delay);
           break;
         }
       if (!lp_breaker_allow_call (&client->breaker, now))
@@ -415,7 +416,7 @@
   call->user = user;
   call->deadline = lb_clock_monotonic () + client->settings.deadline;
   call->deadline_timer = evtimer_new (client->base, on_call_deadline, call);
-  call->backoff_timer = evtimer_new (client->base, on_backoff_end, call);
+  call->backoff_timer = evtimer_new (client->base, on_call_backoff_end, call);
   event_add (call->deadline_timer, &timeout);
   enqueue_call (call);
 }
--- a/packages/store/src/lp-follow.c
+++ b/packages/store/src/lp-follow.c
@@ -63,7 +63,7 @@
 /* Returns the delay before the next call, and counts a STORE_BUSY answer. A busy store refuses the
  * calls of many instances at once; exponential backoff with jitter spreads their retries. */
 static LbTime
-advance_retry_delay (LpFollow *follow, LbErrorCode error)
+compute_next_retry_delay (LpFollow *follow, LbErrorCode error)
 {
   LbTime delay = follow->settings.retry_delay;
 
@@ -79,14 +79,14 @@
   return delay + draw_random_delay (delay);
 }
 
-/* Schedules the next call. NOT_FOUND means that the store has dropped changes after
- * follow->version, so the rows must be listed: without delay if none were delivered yet. */
+/* Schedules the next call after a failed one. NOT_FOUND means that the store has dropped changes
+ * after follow->version, so the rows must be listed: immediately if no rows were delivered yet. */
 static void
-schedule_retry_after_error (LpFollow *follow, LbErrorCode error)
+schedule_next_call_after_error (LpFollow *follow, LbErrorCode error)
 {
   lb_log (LB_LOG_DEBUG, "table_not_read", LB_TEXT ("table", follow->settings.table),
           LB_TEXT ("error", lb_error_name (error)), LB_INT ("after", follow->version));
-  follow->next_call_at = lb_clock_monotonic () + advance_retry_delay (follow, error);
+  follow->next_call_at = lb_clock_monotonic () + compute_next_retry_delay (follow, error);
   if (error != LB_ERROR_NOT_FOUND)
     return;
   if (!follow->has_listed)
@@ -115,7 +115,7 @@
     return;
   if (follow->list_error != LB_OK)
     {
-      schedule_retry_after_error (follow, follow->list_error);
+      schedule_next_call_after_error (follow, follow->list_error);
       return;
     }
   follow->version = follow->list_version;
@@ -147,7 +147,7 @@
   follow->n_pending = 0;
   if (error != LB_OK)
     {
-      schedule_retry_after_error (follow, error);
+      schedule_next_call_after_error (follow, error);
       return;
     }
   follow->version = version;
@@ -163,7 +163,7 @@
 /* Whether to read the table by a watch from version 0, one call for the whole change history. A
  * list takes one call for each prefix, but also works after the store has dropped old changes. */
 static bool
-should_read_whole_history (const LpFollow *follow)
+should_read_whole_change_history (const LpFollow *follow)
 {
   return follow->settings.tries_history && !follow->has_listed && !follow->has_no_history;
 }
@@ -189,7 +189,7 @@
 }
 
 static void
-start_watch (LpFollow *follow)
+start_table_watch (LpFollow *follow)
 {
   const LpFollowSettings *settings = &follow->settings;
 
@@ -204,12 +204,12 @@
 {
   if (follow->n_pending > 0 || now < follow->next_call_at)
     return;
-  if (should_read_whole_history (follow))
-    start_watch (follow);
+  if (should_read_whole_change_history (follow))
+    start_table_watch (follow);
   else if (follow->version == 0 || follow->list_interval > 0)
     start_listing_prefixes (follow);
   else
-    start_watch (follow);
+    start_table_watch (follow);
 }
 
 LbTime
--- a/packages/store/src/lp-http.c
+++ b/packages/store/src/lp-http.c
@@ -132,7 +132,7 @@
 /* Reads the row of the first put, if the caller requested it, to find out whether the transaction
  * was applied. */
 static void
-resolve_unknown_outcome (TransactCall *transact)
+read_back_row_if_requested (TransactCall *transact)
 {
   const LpRow row = { .key = transact->key };
 
@@ -147,7 +147,7 @@
 }
 
 static int64_t
-get_row_version (struct json_object *reply, const char *key)
+get_committed_row_version (struct json_object *reply, const char *key)
 {
   struct json_object *versions;
 
@@ -167,7 +167,7 @@
     finish_transact_call (transact, error, &row);
   else if (reply && status == 200)
     {
-      row.version = get_row_version (reply, transact->key);
+      row.version = get_committed_row_version (reply, transact->key);
       finish_transact_call (transact, LB_OK, &row);
     }
   else if (reply && status == 409)
@@ -179,7 +179,7 @@
   else if (error == LB_OK && status >= 400)
     finish_transact_call (transact, LB_ERROR_BAD_REQUEST, &row);
   else
-    resolve_unknown_outcome (transact);
+    read_back_row_if_requested (transact);
   json_object_put (reply);
 }
 
@@ -270,12 +270,12 @@
   size_t n_rows;
   LpRowsDone done;
   void *user;
-} RowsCall;
+} RowReadCall;
 
 static void
-free_rows_call (void *user)
+free_row_read_call (void *user)
 {
-  RowsCall *rows = user;
+  RowReadCall *rows = user;
 
   for (size_t i = 0; i < rows->n_rows; i++)
     {
@@ -288,14 +288,14 @@
 }
 
 static void
-finish_rows_call (RowsCall *rows, LbErrorCode error)
+finish_row_read_call (RowReadCall *rows, LbErrorCode error)
 {
   rows->done (error, rows->rows, error == LB_OK ? rows->n_rows : 0, rows->user);
-  free_rows_call (rows);
+  free_row_read_call (rows);
 }
 
 static void
-add_row_from_json (RowsCall *rows, struct json_object *row)
+add_row_from_json (RowReadCall *rows, struct json_object *row)
 {
   rows->rows = lb_realloc (rows->rows, (rows->n_rows + 1) * sizeof (LpRow));
   rows->rows[rows->n_rows++] = (LpRow){ .key = lb_strdup (lb_json_text (row, "key", "")),
@@ -304,9 +304,9 @@
 }
 
 static void
-on_row_answer (LbErrorCode error, int status, const char *body, size_t length, void *user)
+on_single_row_answer (LbErrorCode error, int status, const char *body, size_t length, void *user)
 {
-  RowsCall *rows = user;
+  RowReadCall *rows = user;
   struct json_object *reply
       = error == LB_OK && status == 200 ? parse_json_object (body, length) : NULL;
 
@@ -314,34 +314,34 @@
     add_row_from_json (rows, reply);
   else if (error == LB_OK)
     error = status == 404 ? LB_ERROR_NOT_FOUND : LB_ERROR_STORE_AWAY;
-  finish_rows_call (rows, error);
+  finish_row_read_call (rows, error);
   json_object_put (reply);
 }
 
 static void
 http_get_row (LpPlatform *platform, const char *key, LpRowsDone done, void *user)
 {
-  RowsCall *rows = LB_NEW (RowsCall);
+  RowReadCall *rows = LB_NEW (RowReadCall);
   char *path = build_path_with_escaped_value ("/table/row?key=", key);
 
-  *rows = (RowsCall){ .platform = platform, .done = done, .user = user };
-  start_get_request (platform, path, on_row_answer, free_rows_call, rows);
+  *rows = (RowReadCall){ .platform = platform, .done = done, .user = user };
+  start_get_request (platform, path, on_single_row_answer, free_row_read_call, rows);
   free (path);
 }
 
-static void request_next_page (RowsCall *rows);
+static void request_next_scan_page (RowReadCall *rows);
 
 static void
 on_scan_page (LbErrorCode error, int status, const char *body, size_t length, void *user)
 {
-  RowsCall *rows = user;
+  RowReadCall *rows = user;
   struct json_object *reply
       = error == LB_OK && status == 200 ? parse_json_object (body, length) : NULL;
   size_t n = 0;
 
   if (!reply)
     {
-      finish_rows_call (rows, error != LB_OK ? error : LB_ERROR_STORE_AWAY);
+      finish_row_read_call (rows, error != LB_OK ? error : LB_ERROR_STORE_AWAY);
       return;
     }
   struct json_object *page = get_array_member (reply, "rows", &n);
@@ -349,13 +349,13 @@
     add_row_from_json (rows, json_object_array_get_idx (page, i));
   json_object_put (reply);
   if (n < ROWS_PER_SCAN_PAGE)
-    finish_rows_call (rows, LB_OK);
+    finish_row_read_call (rows, LB_OK);
   else
-    request_next_page (rows);
+    request_next_scan_page (rows);
 }
 
 static void
-request_next_page (RowsCall *rows)
+request_next_scan_page (RowReadCall *rows)
 {
   const char *last = rows->n_rows > 0 ? rows->rows[rows->n_rows - 1].key : "";
   char *after = evhttp_uriencode (last, -1, 0);
@@ -363,7 +363,7 @@
   char *path
       = lb_asprintf ("/table/scan?prefix=%s&after=%s&limit=%d", prefix, after, ROWS_PER_SCAN_PAGE);
 
-  start_get_request (rows->platform, path, on_scan_page, free_rows_call, rows);
+  start_get_request (rows->platform, path, on_scan_page, free_row_read_call, rows);
   free (after);
   free (prefix);
   free (path);
@@ -372,12 +372,12 @@
 static void
 http_scan_rows (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user)
 {
-  RowsCall *rows = LB_NEW (RowsCall);
+  RowReadCall *rows = LB_NEW (RowReadCall);
 
-  *rows = (RowsCall){
+  *rows = (RowReadCall){
     .platform = platform, .prefix = lb_strdup (prefix), .done = done, .user = user
   };
-  request_next_page (rows);
+  request_next_scan_page (rows);
 }
 
 /* --- calls that write or read an object --- */
@@ -450,7 +450,7 @@
 } InstancesCall;
 
 static LpInstance *
-read_instances (struct json_object *reply, size_t *n)
+parse_instance_list (struct json_object *reply, size_t *n)
 {
   struct json_object *array = get_array_member (reply, "instances", n);
   LpInstance *instances = LB_NEW_ARRAY (LpInstance, *n);
@@ -469,7 +469,7 @@
 }
 
 static const char **
-read_leaving_endpoints (struct json_object *reply, size_t *n_leaving)
+parse_leaving_endpoints (struct json_object *reply, size_t *n_leaving)
 {
   size_t n;
   struct json_object *array = get_array_member (reply, "endpoints", &n);
@@ -499,8 +499,8 @@
     error = LB_ERROR_STORE_AWAY;
   if (reply)
     {
-      instances = read_instances (reply, &list.n_instances);
-      leaving = read_leaving_endpoints (reply, &list.n_leaving_endpoints);
+      instances = parse_instance_list (reply, &list.n_instances);
+      leaving = parse_leaving_endpoints (reply, &list.n_leaving_endpoints);
     }
   list.instances = instances;
   list.leaving_endpoints = leaving;
@@ -529,7 +529,8 @@
 } WeightsCall;
 
 static void
-on_weights_answer (LbErrorCode error, int status, const char *body, size_t length, void *user)
+on_weight_version_answer (
+    LbErrorCode error, int status, const char *body, size_t length, void *user)
 {
   WeightsCall *call = user;
   struct json_object *reply
@@ -549,7 +550,7 @@
   char *path = build_path_with_escaped_value ("/weights?pool=", pool);
 
   *call = (WeightsCall){ .done = done, .user = user };
-  start_get_request (platform, path, on_weights_answer, free, call);
+  start_get_request (platform, path, on_weight_version_answer, free, call);
   free (path);
 }
 
--- a/packages/store/src/lp-memory.c
+++ b/packages/store/src/lp-memory.c
@@ -116,7 +116,7 @@
 /* Delivers the replies that are queued now. Replies to calls that a callback makes are delivered in
  * the event loop's next iteration. */
 static void
-deliver_replies (evutil_socket_t fd, short what, void *user)
+deliver_queued_replies (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -257,6 +257,6 @@
   memory->platform.klass = &memory_class;
   memory->store = lp_store_new ();
   lb_list_init (&memory->replies);
-  memory->delivery_event = event_new (base, -1, 0, deliver_replies, memory);
+  memory->delivery_event = event_new (base, -1, 0, deliver_queued_replies, memory);
   return &memory->platform;
 }
--- a/packages/store/src/lp-path.c
+++ b/packages/store/src/lp-path.c
@@ -7,13 +7,13 @@
 
 /* A single call without an answer does not prove that the direct path is down; after two in a row,
  * calls go through a peer. */
-#define FAILURES_UNTIL_DOWN 2
-/* Minimum time between probes of a direct path that is down. Results of a step wait to be written
- * until a probe finds the path recovered, but each probe costs the store one read. */
-#define PROBE_PERIOD (150 * LB_MSEC)
+#define DIRECT_FAILURES_UNTIL_PATH_DOWN 2
+/* Minimum time between probes of a direct path that is down. A longer period delays the use of a
+ * recovered path and so the writes of a step's results; each probe costs the store one read. */
+#define MIN_DIRECT_PROBE_PERIOD (150 * LB_MSEC)
 /* Minimum time between probes for each known peer (at most 64). If none of 350 instances reaches
  * the store, their probes then stay at about 1,400 reads per second. */
-#define PROBE_PERIOD_PER_PEER (4 * LB_MSEC)
+#define MIN_DIRECT_PROBE_PERIOD_PER_PEER (4 * LB_MSEC)
 
 static size_t
 find_peer_index (const LpPath *path, const char *peer)
@@ -53,7 +53,7 @@
 bool
 lp_path_is_direct_path_down (const LpPath *path)
 {
-  return path->direct_failures >= FAILURES_UNTIL_DOWN;
+  return path->direct_failures >= DIRECT_FAILURES_UNTIL_PATH_DOWN;
 }
 
 const char *
@@ -63,11 +63,11 @@
 }
 
 static LbTime
-get_probe_period (const LpPath *path)
+get_direct_path_probe_period (const LpPath *path)
 {
-  LbTime period = (LbTime)path->n_peers * PROBE_PERIOD_PER_PEER;
+  LbTime period = (LbTime)path->n_peers * MIN_DIRECT_PROBE_PERIOD_PER_PEER;
 
-  return period > PROBE_PERIOD ? period : PROBE_PERIOD;
+  return period > MIN_DIRECT_PROBE_PERIOD ? period : MIN_DIRECT_PROBE_PERIOD;
 }
 
 void
@@ -76,8 +76,8 @@
   path->direct_failures = answered ? 0 : path->direct_failures + 1;
   if (answered)
     path->direct_success_at = now;
-  if (path->direct_failures == FAILURES_UNTIL_DOWN)
-    path->next_probe_at = now + get_probe_period (path);
+  if (path->direct_failures == DIRECT_FAILURES_UNTIL_PATH_DOWN)
+    path->next_probe_at = now + get_direct_path_probe_period (path);
 }
 
 bool
@@ -100,6 +100,6 @@
 {
   if (!lp_path_is_direct_path_down (path) || path->n_peers == 0 || now < path->next_probe_at)
     return false;
-  path->next_probe_at = now + get_probe_period (path);
+  path->next_probe_at = now + get_direct_path_probe_period (path);
   return true;
 }
--- a/packages/store/src/lp-store.c
+++ b/packages/store/src/lp-store.c
@@ -216,7 +216,7 @@
 }
 
 static Answer *
-record_answer (
+keep_transaction_answer (
     LpStore *store, const char *token, const char *key, LbErrorCode error, int64_t version)
 {
   Answer *answer = LB_NEW (Answer);
@@ -239,14 +239,14 @@
   const LpCondition *failed = find_failed_condition (store, transaction, &current_version);
 
   if (failed)
-    return record_answer (store, transaction->token, failed->key, LB_ERROR_CONDITION_FAILED,
-                          current_version);
+    return keep_transaction_answer (store, transaction->token, failed->key,
+                                    LB_ERROR_CONDITION_FAILED, current_version);
   store->last_version++;
   for (size_t i = 0; i < transaction->n_puts; i++)
     apply_put (store, &transaction->puts[i]);
-  return record_answer (store, transaction->token,
-                        transaction->n_puts ? transaction->puts[0].key : "", LB_OK,
-                        store->last_version);
+  return keep_transaction_answer (store, transaction->token,
+                                  transaction->n_puts ? transaction->puts[0].key : "", LB_OK,
+                                  store->last_version);
 }
 
 /* Applies the transaction completely or not at all. All its puts get a new version, larger than any
--- a/packages/store/tests/test-breaker.c
+++ b/packages/store/tests/test-breaker.c
@@ -4,7 +4,7 @@
 #include <criterion/criterion.h>
 
 static void
-record_failures_until_open (LpBreaker *breaker, LbTime now)
+record_failures_until_breaker_opens (LpBreaker *breaker, LbTime now)
 {
   while (!lp_breaker_record_failure (breaker, 1, now))
     cr_assert (lp_breaker_allow_call (breaker, now));
@@ -20,7 +20,7 @@
 
   lp_breaker_init (&breaker);
   cr_assert (lp_breaker_allow_call (&breaker, now));
-  record_failures_until_open (&breaker, now);
+  record_failures_until_breaker_opens (&breaker, now);
   cr_assert_not (lp_breaker_allow_call (&breaker, now));
   now = breaker.open_until;
   cr_assert (lp_breaker_allow_call (&breaker, now));
@@ -38,7 +38,7 @@
   LbTime previous = 0;
 
   lp_breaker_init (&breaker);
-  record_failures_until_open (&breaker, now);
+  record_failures_until_breaker_opens (&breaker, now);
   for (int i = 0; i < 10; i++)
     {
       cr_assert_geq (breaker.open_duration, previous);
@@ -57,7 +57,7 @@
   LbTime now = LB_SEC;
 
   lp_breaker_init (&breaker);
-  record_failures_until_open (&breaker, now);
+  record_failures_until_breaker_opens (&breaker, now);
   LbTime open_until_before = breaker.open_until;
   for (int i = 0; i < 50; i++)
     cr_assert_not (lp_breaker_record_failure (&breaker, 1, now + 10 * LB_MSEC));
--- a/packages/store/tests/test-follow.c
+++ b/packages/store/tests/test-follow.c
@@ -27,12 +27,12 @@
 }
 
 static void
-fake_list (LpPlatform *platform,
-           const char *prefix,
-           const char *from,
-           int64_t limit,
-           LpListDone done,
-           void *user)
+fake_store_list_rows (LpPlatform *platform,
+                      const char *prefix,
+                      const char *from,
+                      int64_t limit,
+                      LpListDone done,
+                      void *user)
 {
   (void)prefix;
   (void)from;
@@ -44,12 +44,12 @@
 }
 
 static void
-fake_watch (LpPlatform *platform,
-            const char *table,
-            int64_t after,
-            LbTime wait,
-            LpWatchDone done,
-            void *user)
+fake_store_watch_table (LpPlatform *platform,
+                        const char *table,
+                        int64_t after,
+                        LbTime wait,
+                        LpWatchDone done,
+                        void *user)
 {
   (void)table;
   (void)wait;
@@ -60,7 +60,8 @@
   add_pending_call (fake, done, user);
 }
 
-static const LpPlatformClass fake_class = { .list = fake_list, .watch = fake_watch };
+static const LpPlatformClass fake_class
+    = { .list = fake_store_list_rows, .watch = fake_store_watch_table };
 static const char *const prefixes[] = { "t/00/", "t/01/" };
 static const LpFollowSettings settings = { .table = "t",
                                            .prefixes = prefixes,
--- a/packages/store/tests/test-http.c
+++ b/packages/store/tests/test-http.c
@@ -49,7 +49,7 @@
 }
 
 static void
-set_store_fault (Fixture *fixture, const char *text)
+set_store_fault_from_json (Fixture *fixture, const char *text)
 {
   struct json_object *order = json_tokener_parse (text);
 
@@ -92,7 +92,7 @@
 }
 
 static void
-record_weight_version (LbErrorCode error, int64_t version, void *user)
+record_weight_version_result (LbErrorCode error, int64_t version, void *user)
 {
   CallResult *result = user;
 
@@ -103,7 +103,7 @@
 
 /* Runs the event loop until the call is answered, at the latest after its deadline. */
 static void
-wait_for_answer (Fixture *fixture, const CallResult *result)
+wait_for_call_answer (Fixture *fixture, const CallResult *result)
 {
   while (result->n_callbacks == 0)
     event_base_loop (fixture->base, EVLOOP_ONCE);
@@ -112,7 +112,7 @@
 
 /* Starts a transaction with the value as its token. A "!" in the value requests a read-back. */
 static void
-start_put (
+start_row_put (
     Fixture *fixture, const char *key, const char *value, LpPriority priority, CallResult *result)
 {
   const LpPut put = { .key = key, .value = value };
@@ -125,22 +125,22 @@
 }
 
 static CallResult
-put_and_wait (Fixture *fixture, const char *key, const char *value)
+put_row_and_wait (Fixture *fixture, const char *key, const char *value)
 {
   CallResult result;
 
-  start_put (fixture, key, value, LP_PRIORITY_CONFIG, &result);
-  wait_for_answer (fixture, &result);
+  start_row_put (fixture, key, value, LP_PRIORITY_CONFIG, &result);
+  wait_for_call_answer (fixture, &result);
   return result;
 }
 
 static CallResult
-get_and_wait (Fixture *fixture, const char *key)
+get_row_and_wait (Fixture *fixture, const char *key)
 {
   CallResult result = { 0 };
 
   fixture->platform->klass->get (fixture->platform, key, record_rows_result, &result);
-  wait_for_answer (fixture, &result);
+  wait_for_call_answer (fixture, &result);
   return result;
 }
 
@@ -150,19 +150,19 @@
   CallResult result;
 
   fixture_init (&fixture, 0);
-  result = put_and_wait (&fixture, "a/b c&d", "v1");
+  result = put_row_and_wait (&fixture, "a/b c&d", "v1");
   cr_assert_eq (result.error, LB_OK);
   cr_assert_gt (result.version, 0);
-  result = get_and_wait (&fixture, "a/b c&d");
+  result = get_row_and_wait (&fixture, "a/b c&d");
   cr_assert_str_eq (result.value, "v1");
-  cr_assert_eq (get_and_wait (&fixture, "none").error, LB_ERROR_NOT_FOUND);
+  cr_assert_eq (get_row_and_wait (&fixture, "none").error, LB_ERROR_NOT_FOUND);
 
   const LpCondition condition = { .key = "a/b c&d", .version = 0 };
   const LpTransaction refused = { .token = "t", .conditions = &condition, .n_conditions = 1 };
   CallResult conflict = { 0 };
   fixture.platform->klass->transact (fixture.platform, &refused, LP_PRIORITY_CONFIG,
                                      record_transact_result, &conflict);
-  wait_for_answer (&fixture, &conflict);
+  wait_for_call_answer (&fixture, &conflict);
   cr_assert_eq (conflict.error, LB_ERROR_CONDITION_FAILED);
   cr_assert_str_eq (conflict.key, "a/b c&d");
   cr_assert_gt (conflict.version, 0);
@@ -185,7 +185,7 @@
       lp_store_transact (fixture.store.store, &transaction, &row);
     }
   fixture.platform->klass->scan (fixture.platform, "p/", record_rows_result, &result);
-  wait_for_answer (&fixture, &result);
+  wait_for_call_answer (&fixture, &result);
   cr_assert_eq (result.n_rows, 1200);
   fixture_clear (&fixture);
 }
@@ -198,19 +198,21 @@
   fixture_init (&fixture, 0);
   fixture.platform->klass->put_object (fixture.platform, "s/1", "bytes", 5, record_object_result,
                                        &written);
-  wait_for_answer (&fixture, &written);
+  wait_for_call_answer (&fixture, &written);
   fixture.platform->klass->get_object (fixture.platform, "s/1", record_object_result, &read);
-  wait_for_answer (&fixture, &read);
+  wait_for_call_answer (&fixture, &read);
   cr_assert_str_eq (read.value, "bytes");
   fixture.platform->klass->get_object (fixture.platform, "s/2", record_object_result, &absent);
-  wait_for_answer (&fixture, &absent);
+  wait_for_call_answer (&fixture, &absent);
   cr_assert_eq (absent.error, LB_ERROR_NOT_FOUND);
-  fixture.platform->klass->get_weights (fixture.platform, "reader", record_weight_version, &none);
-  wait_for_answer (&fixture, &none);
+  fixture.platform->klass->get_weights (fixture.platform, "reader", record_weight_version_result,
+                                        &none);
+  wait_for_call_answer (&fixture, &none);
   cr_assert_eq (none.error, LB_ERROR_NOT_FOUND);
   lp_store_set_weight_version (fixture.store.store, "reader", 41);
-  fixture.platform->klass->get_weights (fixture.platform, "reader", record_weight_version, &newest);
-  wait_for_answer (&fixture, &newest);
+  fixture.platform->klass->get_weights (fixture.platform, "reader", record_weight_version_result,
+                                        &newest);
+  wait_for_call_answer (&fixture, &newest);
   cr_assert_eq (newest.version, 41);
   fixture_clear (&fixture);
 }
@@ -223,8 +225,8 @@
   CallResult result;
 
   fixture_init (&fixture, 0);
-  set_store_fault (&fixture, "{\"mode\": \"lose_reply\", \"count\": 1}");
-  result = put_and_wait (&fixture, "k", "v1");
+  set_store_fault_from_json (&fixture, "{\"mode\": \"lose_reply\", \"count\": 1}");
+  result = put_row_and_wait (&fixture, "k", "v1");
   cr_assert_eq (result.error, LB_OK);
   cr_assert_eq (fixture.store.writes, 2);
   cr_assert_eq (lp_store_get_row (fixture.store.store, "k")->version, 1);
@@ -240,8 +242,8 @@
   CallResult result;
 
   fixture_init (&fixture, 0);
-  set_store_fault (&fixture, "{\"mode\": \"lose_reply\"}");
-  result = put_and_wait (&fixture, "k", "v1");
+  set_store_fault_from_json (&fixture, "{\"mode\": \"lose_reply\"}");
+  result = put_row_and_wait (&fixture, "k", "v1");
   cr_assert_eq (result.error, LB_ERROR_STORE_UNKNOWN);
   cr_assert_str_eq (lp_store_get_row (fixture.store.store, "k")->value, "v1");
   fixture_clear (&fixture);
@@ -256,8 +258,9 @@
 
   fixture_init (&fixture, 0);
   /* A slow server allows fewer attempts than the number of failures that opens the breaker. */
-  set_store_fault (&fixture, "{\"mode\": \"slow\", \"ms\": 10000, \"path\": \"/table/transact\"}");
-  result = put_and_wait (&fixture, "k", "mine!");
+  set_store_fault_from_json (&fixture,
+                             "{\"mode\": \"slow\", \"ms\": 10000, \"path\": \"/table/transact\"}");
+  result = put_row_and_wait (&fixture, "k", "mine!");
   cr_assert_eq (result.error, LB_OK);
   cr_assert_eq (result.version, lp_store_get_row (fixture.store.store, "k")->version);
   fixture_clear (&fixture);
@@ -277,7 +280,7 @@
   strcpy (settings.address, gone.server.address);
   si_platform_clear (&gone);
   fixture.platform = lp_http_new (fixture.base, &settings);
-  result = put_and_wait (&fixture, "k", "v1");
+  result = put_row_and_wait (&fixture, "k", "v1");
   cr_assert_eq (result.error, LB_ERROR_STORE_AWAY);
   fixture.platform->klass->free (fixture.platform);
   fixture.platform = reachable;
@@ -293,17 +296,17 @@
   CallResult result;
 
   fixture_init (&fixture, 0);
-  set_store_fault (&fixture, "{\"mode\": \"hang\"}");
+  set_store_fault_from_json (&fixture, "{\"mode\": \"hang\"}");
   for (int i = 0; i < 10; i++)
-    put_and_wait (&fixture, "k", "v1");
+    put_row_and_wait (&fixture, "k", "v1");
   int64_t before = fixture.store.received;
-  result = put_and_wait (&fixture, "k", "v2");
+  result = put_row_and_wait (&fixture, "k", "v2");
   cr_assert_eq (result.error, LB_ERROR_STORE_AWAY);
   cr_assert_eq (fixture.store.received, before);
-  set_store_fault (&fixture, "{\"mode\": \"none\"}");
-  while ((result = put_and_wait (&fixture, "k", "v3")).error != LB_OK)
+  set_store_fault_from_json (&fixture, "{\"mode\": \"none\"}");
+  while ((result = put_row_and_wait (&fixture, "k", "v3")).error != LB_OK)
     cr_assert_eq (result.error, LB_ERROR_STORE_AWAY);
-  cr_assert_str_eq (get_and_wait (&fixture, "k").value, "v3");
+  cr_assert_str_eq (get_row_and_wait (&fixture, "k").value, "v3");
   fixture_clear (&fixture);
 }
 
@@ -313,10 +316,10 @@
   CallResult result;
 
   fixture_init (&fixture, 0);
-  set_store_fault (&fixture, "{\"mode\": \"busy\", \"count\": 2}");
-  cr_assert_eq (put_and_wait (&fixture, "k", "v1").error, LB_OK);
-  set_store_fault (&fixture, "{\"mode\": \"busy\"}");
-  result = put_and_wait (&fixture, "k", "v2");
+  set_store_fault_from_json (&fixture, "{\"mode\": \"busy\", \"count\": 2}");
+  cr_assert_eq (put_row_and_wait (&fixture, "k", "v1").error, LB_OK);
+  set_store_fault_from_json (&fixture, "{\"mode\": \"busy\"}");
+  result = put_row_and_wait (&fixture, "k", "v2");
   cr_assert_eq (result.error, LB_ERROR_STORE_BUSY);
   cr_assert_str_eq (lp_store_get_row (fixture.store.store, "k")->value, "v1");
   fixture_clear (&fixture);
@@ -336,10 +339,10 @@
   for (int i = 0; i < 30; i++)
     {
       snprintf (value, sizeof value, "s%d", i);
-      start_put (&fixture, value, value, LP_PRIORITY_STATUS, &status[i]);
+      start_row_put (&fixture, value, value, LP_PRIORITY_STATUS, &status[i]);
     }
-  start_put (&fixture, "lease", "l", LP_PRIORITY_LEASE, &lease);
-  wait_for_answer (&fixture, &lease);
+  start_row_put (&fixture, "lease", "l", LP_PRIORITY_LEASE, &lease);
+  wait_for_call_answer (&fixture, &lease);
   cr_assert_eq (lease.error, LB_OK);
   cr_assert_lt (lease.order, 12);
   fixture_clear (&fixture);
--- a/packages/store/tests/test-store.c
+++ b/packages/store/tests/test-store.c
@@ -5,12 +5,12 @@
 #include <string.h>
 
 static LbErrorCode
-put_if_version (LpStore *store,
-                const char *token,
-                const char *key,
-                int64_t expected_version,
-                const char *value,
-                LpRow *row)
+put_row_if_version_matches (LpStore *store,
+                            const char *token,
+                            const char *key,
+                            int64_t expected_version,
+                            const char *value,
+                            LpRow *row)
 {
   const LpCondition condition = { .key = key, .version = expected_version };
   const LpPut change = { .key = key, .value = value };
@@ -26,13 +26,14 @@
   LpStore *store = lp_store_new ();
   LpRow row;
 
-  cr_assert_eq (put_if_version (store, "t1", "k", 0, "a", &row), LB_OK);
+  cr_assert_eq (put_row_if_version_matches (store, "t1", "k", 0, "a", &row), LB_OK);
   int64_t first = row.version;
-  cr_assert_eq (put_if_version (store, "t2", "k", 0, "b", &row), LB_ERROR_CONDITION_FAILED);
+  cr_assert_eq (put_row_if_version_matches (store, "t2", "k", 0, "b", &row),
+                LB_ERROR_CONDITION_FAILED);
   cr_assert_str_eq (row.key, "k");
   cr_assert_eq (row.version, first);
   cr_assert_str_eq (lp_store_get_row (store, "k")->value, "a");
-  cr_assert_eq (put_if_version (store, "t3", "k", first, "b", &row), LB_OK);
+  cr_assert_eq (put_row_if_version_matches (store, "t3", "k", first, "b", &row), LB_OK);
   cr_assert_gt (row.version, first);
   lp_store_free (store);
 }
@@ -44,10 +45,10 @@
   LpStore *store = lp_store_new ();
   LpRow row;
 
-  cr_assert_eq (put_if_version (store, "t1", "k", 0, "a", &row), LB_OK);
+  cr_assert_eq (put_row_if_version_matches (store, "t1", "k", 0, "a", &row), LB_OK);
   int64_t first = row.version;
-  cr_assert_eq (put_if_version (store, "t2", "k", first, "b", &row), LB_OK);
-  cr_assert_eq (put_if_version (store, "t1", "k", 0, "a", &row), LB_OK);
+  cr_assert_eq (put_row_if_version_matches (store, "t2", "k", first, "b", &row), LB_OK);
+  cr_assert_eq (put_row_if_version_matches (store, "t1", "k", 0, "a", &row), LB_OK);
   cr_assert_eq (row.version, first);
   cr_assert_str_eq (lp_store_get_row (store, "k")->value, "b");
   lp_store_free (store);
@@ -60,11 +61,11 @@
   LpStore *store = lp_store_new ();
   LpRow row;
 
-  put_if_version (store, "t1", "k", 0, "a", &row);
+  put_row_if_version_matches (store, "t1", "k", 0, "a", &row);
   int64_t first = row.version;
-  cr_assert_eq (put_if_version (store, "t2", "k", first, NULL, &row), LB_OK);
+  cr_assert_eq (put_row_if_version_matches (store, "t2", "k", first, NULL, &row), LB_OK);
   cr_assert_null (lp_store_get_row (store, "k"));
-  cr_assert_eq (put_if_version (store, "t3", "k", 0, "c", &row), LB_OK);
+  cr_assert_eq (put_row_if_version_matches (store, "t3", "k", 0, "c", &row), LB_OK);
   cr_assert_gt (row.version, first);
   lp_store_free (store);
 }
@@ -81,7 +82,7 @@
   for (size_t i = 0; i < 5; i++)
     {
       snprintf (token, sizeof token, "%zu", i);
-      put_if_version (store, token, keys[i], 0, "v", &row);
+      put_row_if_version_matches (store, token, keys[i], 0, "v", &row);
     }
   for (const LpRow *next = lp_store_find_next_row (store, "b/", NULL); next;
        next = lp_store_find_next_row (store, "b/", next->key))
