--- a/packages/http/include/lh-fetch.h
+++ b/packages/http/include/lh-fetch.h
@@ -39,7 +39,7 @@
 
 typedef struct
 {
-  const char *method;  /* one that lh_method_is_supported accepts, such as "GET" */
+  const char *method;  /* HTTP method that lh_method_is_supported accepts, such as "GET" */
   const char *address; /* IP:PORT of the server, such as "127.0.0.1:8080" */
   const char *path;    /* request target, query included */
   const char *host;    /* value of the Host header; NULL: the address */
--- a/packages/http/src/lh-connect-probe.c
+++ b/packages/http/src/lh-connect-probe.c
@@ -22,7 +22,7 @@
 };
 
 static void
-free_probe (LhConnectProbe *probe)
+free_connect_probe (LhConnectProbe *probe)
 {
   if (probe->event)
     event_free (probe->event);
@@ -33,7 +33,7 @@
 void
 lh_connect_probe_cancel (LhConnectProbe *probe)
 {
-  free_probe (probe);
+  free_connect_probe (probe);
 }
 
 static int
@@ -58,12 +58,12 @@
 }
 
 static void
-finish_probe (LhConnectProbe *probe, LhConnectProbeOutcome outcome)
+finish_connect_probe (LhConnectProbe *probe, LhConnectProbeOutcome outcome)
 {
   LhConnectProbeDone done = probe->done;
   void *done_user = probe->user;
 
-  free_probe (probe);
+  free_connect_probe (probe);
   done (outcome, done_user);
 }
 
@@ -75,11 +75,11 @@
   char byte;
   bool has_ended = (what & EV_READ) && recv (fd, &byte, sizeof byte, 0) <= 0;
 
-  finish_probe (user, has_ended ? LH_CONNECT_PROBE_CLOSED : LH_CONNECT_PROBE_OPEN);
+  finish_connect_probe (user, has_ended ? LH_CONNECT_PROBE_CLOSED : LH_CONNECT_PROBE_OPEN);
 }
 
 static void
-start_watching_for_close (LhConnectProbe *probe)
+start_watching_for_server_close (LhConnectProbe *probe)
 {
   const struct timeval wait = lb_time_to_timeval (probe->hold_time);
 
@@ -96,15 +96,15 @@
   LhConnectProbeOutcome outcome = get_connect_outcome (probe, what);
 
   if (outcome == LH_CONNECT_PROBE_OPEN && probe->hold_time > 0)
-    start_watching_for_close (probe);
+    start_watching_for_server_close (probe);
   else
-    finish_probe (probe, outcome);
+    finish_connect_probe (probe, outcome);
 }
 
 /* Starts a non-blocking connect. An immediate result is also reported from the event loop, so that
  * done is never called from inside lh_connect_probe_start. */
 static void
-start_connecting (LhConnectProbe *probe, const struct sockaddr_in *target, LbTime timeout)
+start_probe_connect (LhConnectProbe *probe, const struct sockaddr_in *target, LbTime timeout)
 {
   const struct timeval wait = lb_time_to_timeval (timeout);
 
@@ -144,6 +144,6 @@
   probe->done = done;
   probe->user = user;
   probe->event = event_new (base, fd, EV_WRITE, on_connect_ended, probe);
-  start_connecting (probe, &target, times->connect_timeout);
+  start_probe_connect (probe, &target, times->connect_timeout);
   return probe;
 }
--- a/packages/http/src/lh-fetch.c
+++ b/packages/http/src/lh-fetch.c
@@ -36,7 +36,7 @@
 };
 
 static bool
-find_method_by_name (const char *name, enum evhttp_cmd_type *method)
+find_http_method_by_name (const char *name, enum evhttp_cmd_type *method)
 {
   static const struct
   {
@@ -62,7 +62,7 @@
 {
   enum evhttp_cmd_type method;
 
-  return find_method_by_name (name, &method);
+  return find_http_method_by_name (name, &method);
 }
 
 static void
@@ -81,10 +81,10 @@
   fetch->connect_timer = NULL;
 }
 
-/* Notes that a byte of the request may have been sent, after which the request may have run. evhttp
- * adds bytes to the output buffer only after it has connected. */
+/* Sets bytes_handed once bytes of the request may have been sent, since the server may then execute
+ * the request. evhttp adds bytes to the output buffer only after it has connected. */
 static void
-on_output_changed (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *user)
+on_output_buffer_changed (struct evbuffer *buffer, const struct evbuffer_cb_info *info, void *user)
 {
   (void)buffer;
   LhFetch *fetch = user;
@@ -96,15 +96,15 @@
 }
 
 static void
-enable_output_callback (LhFetch *fetch, bool enable)
+set_output_callback_enabled (LhFetch *fetch, bool enable)
 {
   struct bufferevent *bev = evhttp_connection_get_bufferevent (fetch->connection->evcon);
   struct evbuffer *output = bufferevent_get_output (bev);
 
   if (enable)
-    evbuffer_add_cb (output, on_output_changed, fetch);
+    evbuffer_add_cb (output, on_output_buffer_changed, fetch);
   else
-    evbuffer_remove_cb (output, on_output_changed, fetch);
+    evbuffer_remove_cb (output, on_output_buffer_changed, fetch);
 }
 
 /* Returns the time that the connection may be idle before its next request; 0: it must not be
@@ -133,9 +133,9 @@
  * lh_fetch_start doesn't have the fetch yet. evhttp fails immediately if it can't open a socket,
  * for example because all file descriptors are in use. */
 static void
-defer_start_failure (LhFetch *fetch)
+defer_start_failure_report (LhFetch *fetch)
 {
-  enable_output_callback (fetch, false);
+  set_output_callback_enabled (fetch, false);
   lh_pool_schedule_connection_close (fetch->connection);
   fetch->connection = NULL;
   fetch->request = NULL;
@@ -157,7 +157,7 @@
   void *fetch_user = fetch->user;
 
   free_connect_timer (fetch);
-  enable_output_callback (fetch, false);
+  set_output_callback_enabled (fetch, false);
   lb_list_remove (&fetch->pool->running_fetches, &fetch->link);
   evhttp_request_set_error_cb (fetch->request, NULL);
   evhttp_cancel_request (fetch->request);
@@ -185,7 +185,7 @@
   LhResult result = { .bytes_handed = fetch->bytes_handed };
   LhConnection *connection = fetch->connection;
 
-  enable_output_callback (fetch, false);
+  set_output_callback_enabled (fetch, false);
   free_connect_timer (fetch);
   lb_list_remove (&fetch->pool->running_fetches, &fetch->link);
   if (request && evhttp_request_get_response_code (request) != 0 && fetch->failure == LB_OK)
@@ -283,7 +283,7 @@
   enum evhttp_cmd_type method;
   LhFetch *fetch = NULL;
 
-  if (!find_method_by_name (spec->method, &method))
+  if (!find_http_method_by_name (spec->method, &method))
     {
       lb_error_set (error, LB_ERROR_BAD_VALUE, spec->method, "expected a known HTTP method");
       return NULL;
@@ -305,7 +305,7 @@
   if (handlers->on_body_chunk)
     evhttp_request_set_chunked_cb (fetch->request, on_chunk_received);
   add_headers_and_body (fetch->request, spec);
-  enable_output_callback (fetch, true);
+  set_output_callback_enabled (fetch, true);
   evhttp_connection_set_max_body_size (connection->evcon,
                                        handlers->on_body_chunk ? -1 : MAX_BUFFERED_BODY_BYTES);
   fetch->is_starting = true;
@@ -313,7 +313,7 @@
     fetch->failure = LB_ERROR_IO;
   fetch->is_starting = false;
   if (fetch->failure != LB_OK)
-    defer_start_failure (fetch);
+    defer_start_failure_report (fetch);
   else
     {
       lh_socket_enable_keepalive (
@@ -332,7 +332,7 @@
       free (fetch);
       return;
     }
-  enable_output_callback (fetch, false);
+  set_output_callback_enabled (fetch, false);
   free_connect_timer (fetch);
   lb_list_remove (&fetch->pool->running_fetches, &fetch->link);
   /* evhttp_cancel_request also frees the request. The connection is closed, not reused, since its
--- a/packages/http/src/lh-pool.c
+++ b/packages/http/src/lh-pool.c
@@ -9,14 +9,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_HEADER_BYTES (64 << 10)
+#define MAX_RESPONSE_HEADER_BYTES (64 << 10)
 #define MAX_IDLE_CONNECTIONS 512
 #define MAX_CONNECTION_IDLE_TIME (20 * LB_SEC)
 /* Connections are closed this long before the timeout in the server's Keep-Alive header. The server
  * counts from the time it wrote its response, and the next request takes time to arrive. The margin
  * is half of the shortest timeout that the header can state, 1 s. */
 #define KEEP_ALIVE_MARGIN (500 * LB_MSEC)
-#define EXPIRY_CHECK_INTERVAL_SECONDS 5
+#define IDLE_EXPIRY_CHECK_INTERVAL_SECONDS 5
 
 static bool
 parse_host_and_port (const char *address, char *host, size_t size, int *port)
@@ -52,7 +52,7 @@
 }
 
 static void
-on_cleanup_event (evutil_socket_t fd, short what, void *user)
+on_pool_cleanup_event (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -62,7 +62,7 @@
 }
 
 static void
-remove_from_idle_list (LhConnection *connection)
+remove_connection_from_idle_list (LhConnection *connection)
 {
   connection->is_idle = false;
   lb_list_remove (&connection->pool->idle_connections, &connection->link);
@@ -77,7 +77,7 @@
 
 /* Closes the idle connections that have exceeded their max_idle_time. */
 static void
-on_expiry_check (evutil_socket_t fd, short what, void *user)
+on_idle_connection_expiry_check (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -88,7 +88,7 @@
   {
     if (!has_exceeded_max_idle_time (connection, now))
       continue;
-    remove_from_idle_list (connection);
+    remove_connection_from_idle_list (connection);
     lb_list_append (&pool->closing_connections, &connection->link);
   }
   free_closing_connections (pool);
@@ -98,15 +98,15 @@
 lh_pool_new (struct event_base *base)
 {
   LhPool *pool = LB_NEW (LhPool);
-  const struct timeval period = { .tv_sec = EXPIRY_CHECK_INTERVAL_SECONDS };
+  const struct timeval period = { .tv_sec = IDLE_EXPIRY_CHECK_INTERVAL_SECONDS };
 
   pool->base = base;
   lb_list_init (&pool->idle_connections);
   lb_list_init (&pool->closing_connections);
   lb_list_init (&pool->running_fetches);
   lb_list_init (&pool->failed_starts);
-  pool->cleanup_event = event_new (base, -1, 0, on_cleanup_event, pool);
-  pool->expiry_timer = event_new (base, -1, EV_PERSIST, on_expiry_check, pool);
+  pool->cleanup_event = event_new (base, -1, 0, on_pool_cleanup_event, pool);
+  pool->expiry_timer = event_new (base, -1, EV_PERSIST, on_idle_connection_expiry_check, pool);
   event_add (pool->expiry_timer, &period);
   return pool;
 }
@@ -120,7 +120,7 @@
   lh_fetch_cancel_all (pool);
   LB_LIST_FOREACH (&pool->idle_connections, LhConnection, link, connection)
   {
-    remove_from_idle_list (connection);
+    remove_connection_from_idle_list (connection);
     free_connection (connection);
   }
   free_closing_connections (pool);
@@ -151,7 +151,7 @@
   {
     if (address && strcmp (connection->address, address) != 0)
       continue;
-    remove_from_idle_list (connection);
+    remove_connection_from_idle_list (connection);
     lh_pool_schedule_connection_close (connection);
   }
 }
@@ -176,7 +176,7 @@
 {
   LhConnection *longest_idle = LB_CONTAINER (pool->idle_connections.head.prev, LhConnection, link);
 
-  remove_from_idle_list (longest_idle);
+  remove_connection_from_idle_list (longest_idle);
   lh_pool_schedule_connection_close (longest_idle);
 }
 
@@ -213,7 +213,7 @@
 
   if (!connection->is_idle)
     return;
-  remove_from_idle_list (connection);
+  remove_connection_from_idle_list (connection);
   lh_pool_schedule_connection_close (connection);
 }
 
@@ -233,7 +233,7 @@
   LB_COPY (connection->address, address);
   connection->evcon
       = evhttp_connection_base_bufferevent_new (pool->base, NULL, NULL, host, (uint16_t)port);
-  evhttp_connection_set_max_headers_size (connection->evcon, MAX_HEADER_BYTES);
+  evhttp_connection_set_max_headers_size (connection->evcon, MAX_RESPONSE_HEADER_BYTES);
   evhttp_connection_set_closecb (connection->evcon, on_connection_closed, connection);
   return connection;
 }
@@ -263,7 +263,7 @@
       if (strcmp (connection->address, address) != 0
           || has_exceeded_max_idle_time (connection, now))
         continue;
-      remove_from_idle_list (connection);
+      remove_connection_from_idle_list (connection);
       return connection;
     }
   return create_connection (pool, address, error);
--- a/packages/http/src/lh-pool.h
+++ b/packages/http/src/lh-pool.h
@@ -22,8 +22,8 @@
   struct event *expiry_timer;
   struct event *cleanup_event;
   LbList idle_connections;
-  LbList
-      closing_connections; /* freed from the event loop, as evhttp's callbacks must not free them */
+  /* Connections to free from the event loop, because evhttp's callbacks must not free them. */
+  LbList closing_connections;
   LbList running_fetches;
   LbList failed_starts; /* fetches that failed inside lh_fetch_start; on_done not called yet */
 };
--- a/packages/http/src/lh-sse.c
+++ b/packages/http/src/lh-sse.c
@@ -20,7 +20,7 @@
 }
 
 static void
-append_to_buffer (LhSse *sse, const char *bytes, size_t length)
+append_bytes_to_buffer (LhSse *sse, const char *bytes, size_t length)
 {
   if (sse->length + length > sse->capacity)
     {
@@ -79,7 +79,7 @@
 
   if (length == 0)
     return true;
-  append_to_buffer (sse, bytes, length);
+  append_bytes_to_buffer (sse, bytes, length);
   for (;;)
     {
       const char *newline = memchr (sse->buffer + start, '\n', sse->length - start);
--- a/packages/http/tests/test-connect-probe.c
+++ b/packages/http/tests/test-connect-probe.c
@@ -43,7 +43,7 @@
 }
 
 static void
-record_outcome (LhConnectProbeOutcome outcome, void *user)
+record_probe_outcome (LhConnectProbeOutcome outcome, void *user)
 {
   Fixture *f = user;
 
@@ -52,20 +52,20 @@
 }
 
 static void
-probe_with_hold_time (Fixture *f, LbTime connect_timeout, LbTime hold_time)
+run_probe_with_hold_time (Fixture *f, LbTime connect_timeout, LbTime hold_time)
 {
   const LhConnectProbeTimes times = { .connect_timeout = connect_timeout, .hold_time = hold_time };
 
-  cr_assert (lh_connect_probe_start (f->base, f->address, &times, record_outcome, f));
+  cr_assert (lh_connect_probe_start (f->base, f->address, &times, record_probe_outcome, f));
   cr_assert_eq (f->n_done_calls, 0, "done was called from inside lh_connect_probe_start");
   event_base_dispatch (f->base);
   cr_assert_eq (f->n_done_calls, 1);
 }
 
 static void
-probe_without_hold_time (Fixture *f, LbTime connect_timeout)
+run_probe_without_hold_time (Fixture *f, LbTime connect_timeout)
 {
-  probe_with_hold_time (f, connect_timeout, 0);
+  run_probe_with_hold_time (f, connect_timeout, 0);
 }
 
 Test (connect_probe, reports_a_listener_as_open)
@@ -73,7 +73,7 @@
   Fixture f;
 
   fixture_init (&f, 8);
-  probe_without_hold_time (&f, 10 * LB_SEC);
+  run_probe_without_hold_time (&f, 10 * LB_SEC);
   cr_assert_eq (f.outcome, LH_CONNECT_PROBE_OPEN);
   fixture_clear (&f);
 }
@@ -85,7 +85,7 @@
   fixture_init (&f, 8);
   close (f.listener);
   f.listener = -1;
-  probe_without_hold_time (&f, 10 * LB_SEC);
+  run_probe_without_hold_time (&f, 10 * LB_SEC);
   cr_assert_eq (f.outcome, LH_CONNECT_PROBE_REFUSED);
   fixture_clear (&f);
 }
@@ -107,7 +107,7 @@
       cr_assert (connect (queued_fds[i], (struct sockaddr *)&at, length) == 0
                  || errno == EINPROGRESS);
     }
-  probe_without_hold_time (&f, 100 * LB_MSEC);
+  run_probe_without_hold_time (&f, 100 * LB_MSEC);
   cr_assert_eq (f.outcome, LH_CONNECT_PROBE_NO_ANSWER);
   for (int i = 0; i < 3; i++)
     close (queued_fds[i]);
@@ -136,7 +136,7 @@
   fixture_init (&f, 8);
   struct event *timer = evtimer_new (f.base, on_close_listener_timer, &f);
   event_add (timer, &soon);
-  probe_with_hold_time (&f, 10 * LB_SEC, 10 * LB_SEC);
+  run_probe_with_hold_time (&f, 10 * LB_SEC, 10 * LB_SEC);
   cr_assert_eq (f.outcome, LH_CONNECT_PROBE_CLOSED);
   event_free (timer);
   fixture_clear (&f);
@@ -147,7 +147,7 @@
   Fixture f;
 
   fixture_init (&f, 8);
-  probe_with_hold_time (&f, 10 * LB_SEC, 30 * LB_MSEC);
+  run_probe_with_hold_time (&f, 10 * LB_SEC, 30 * LB_MSEC);
   cr_assert_eq (f.outcome, LH_CONNECT_PROBE_OPEN);
   fixture_clear (&f);
 }
@@ -158,8 +158,9 @@
   Fixture f;
 
   fixture_init (&f, 8);
-  cr_assert_null (lh_connect_probe_start (f.base, "nonsense", &times, record_outcome, &f));
-  lh_connect_probe_cancel (lh_connect_probe_start (f.base, f.address, &times, record_outcome, &f));
+  cr_assert_null (lh_connect_probe_start (f.base, "nonsense", &times, record_probe_outcome, &f));
+  lh_connect_probe_cancel (
+      lh_connect_probe_start (f.base, f.address, &times, record_probe_outcome, &f));
   event_base_dispatch (f.base);
   cr_assert_eq (f.n_done_calls, 0);
   fixture_clear (&f);
--- a/packages/http/tests/test-fetch.c
+++ b/packages/http/tests/test-fetch.c
@@ -64,7 +64,7 @@
 }
 
 static void
-run_loop_once (Fixture *f)
+run_event_loop_once (Fixture *f)
 {
   event_base_loop (f->base, EVLOOP_NONBLOCK);
   usleep (200);
@@ -76,13 +76,13 @@
       LbTime end_ = lb_clock_monotonic () + 20 * LB_SEC;                                           \
       bool met_ = false;                                                                           \
       while (!(met_ = (condition)) && lb_clock_monotonic () < end_)                                \
-        run_loop_once (f);                                                                         \
+        run_event_loop_once (f);                                                                   \
       cr_assert (met_, "condition not met within 20 s: %s", #condition);                           \
     }                                                                                              \
   while (0)
 
 static void
-record_result (LhFetch *fetch, const LhResult *result, void *user)
+record_fetch_result (LhFetch *fetch, const LhResult *result, void *user)
 {
   Fixture *f = user;
   const char *header = lh_fetch_get_response_header (fetch, "x-kind");
@@ -116,7 +116,7 @@
                               .body_length = strlen (body),
                               .idle_timeout = idle_timeout };
   const LhHandlers handlers
-      = { .on_body_chunk = streams ? append_body_chunk : NULL, .on_done = record_result };
+      = { .on_body_chunk = streams ? append_body_chunk : NULL, .on_done = record_fetch_result };
   LbError error = { 0 };
   LhFetch *fetch = lh_fetch_start (f->pool, &request, &handlers, f, &error);
 
@@ -126,7 +126,7 @@
 }
 
 static bool
-server_receive_and_find (Fixture *f, int fd, const char *needle)
+receive_bytes_and_search_request (Fixture *f, int fd, const char *needle)
 {
   ssize_t got = recv (fd, f->request + f->request_length, sizeof f->request - 1 - f->request_length,
                       MSG_DONTWAIT);
@@ -139,19 +139,19 @@
 }
 
 static int
-server_accept_request (Fixture *f, const char *needle)
+accept_connection_and_receive_text (Fixture *f, const char *needle)
 {
   int fd = -1;
 
   f->request_length = 0;
   f->request[0] = '\0';
   RUN_LOOP_UNTIL (f, (fd = accept (f->listener, NULL, NULL)) >= 0);
-  RUN_LOOP_UNTIL (f, server_receive_and_find (f, fd, needle));
+  RUN_LOOP_UNTIL (f, receive_bytes_and_search_request (f, fd, needle));
   return fd;
 }
 
 static void
-server_send (int fd, const char *text)
+send_text_to_client (int fd, const char *text)
 {
   cr_assert_eq (send (fd, text, strlen (text), 0), (ssize_t)strlen (text));
 }
@@ -162,10 +162,10 @@
 
   fixture_init (&f);
   start_fetch (&f, "DELETE", "bye", false, 0);
-  int fd = server_accept_request (&f, "\r\n\r\nbye");
+  int fd = accept_connection_and_receive_text (&f, "\r\n\r\nbye");
   cr_assert (strstr (f.request, "DELETE /p?q=1 HTTP/1.1"));
   cr_assert (strstr (f.request, "Content-Length: 3"));
-  server_send (fd, "HTTP/1.1 404 No\r\nx-kind: short\r\nContent-Length: 4\r\n\r\nnone");
+  send_text_to_client (fd, "HTTP/1.1 404 No\r\nx-kind: short\r\nContent-Length: 4\r\n\r\nnone");
   RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_eq (f.failure, LB_OK);
   cr_assert_eq (f.status, 404);
@@ -181,17 +181,17 @@
 
   fixture_init (&f);
   start_fetch (&f, "GET", "", false, 0);
-  int fd = server_accept_request (&f, "\r\n\r\n");
-  server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+  int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
+  send_text_to_client (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   RUN_LOOP_UNTIL (&f, f.n_done);
   f.n_done = 0;
   f.request_length = 0;
   start_fetch (&f, "GET", "", false, 0);
-  RUN_LOOP_UNTIL (&f, server_receive_and_find (&f, fd, "\r\n\r\n"));
-  server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+  RUN_LOOP_UNTIL (&f, receive_bytes_and_search_request (&f, fd, "\r\n\r\n"));
+  send_text_to_client (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   RUN_LOOP_UNTIL (&f, f.n_done);
   lh_pool_close_idle_connections (f.pool, f.address);
-  RUN_LOOP_UNTIL (&f, (server_receive_and_find (&f, fd, NULL), f.is_closed));
+  RUN_LOOP_UNTIL (&f, (receive_bytes_and_search_request (&f, fd, NULL), f.is_closed));
   close (fd);
   fixture_clear (&f);
 }
@@ -204,16 +204,16 @@
 
   fixture_init (&f);
   start_fetch (&f, "GET", "", false, 0);
-  int fd = server_accept_request (&f, "\r\n\r\n");
-  server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
-                   "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
+  int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
+  send_text_to_client (fd, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
+                           "HTTP/1.1 200 OK\r\nContent-Length: 6\r\n\r\nstolen");
   RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_str_eq (f.body, "one");
   f.n_done = 0;
   f.body[0] = '\0';
   start_fetch (&f, "GET", "", false, 0);
-  int new_fd = server_accept_request (&f, "\r\n\r\n");
-  server_send (new_fd, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo");
+  int new_fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
+  send_text_to_client (new_fd, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\ntwo");
   RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_str_eq (f.body, "two");
   close (fd);
@@ -245,7 +245,7 @@
 
   fixture_init (&f);
   start_fetch (&f, "POST", "x", false, 0);
-  int fd = server_accept_request (&f, "\r\n\r\nx");
+  int fd = accept_connection_and_receive_text (&f, "\r\n\r\nx");
   close (fd);
   RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_neq (f.failure, LB_OK);
@@ -261,10 +261,10 @@
 
   fixture_init (&f);
   start_fetch (&f, "GET", "", false, 0);
-  int fd = server_accept_request (&f, "\r\n\r\n");
-  server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
+  int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
+  send_text_to_client (fd, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
   for (int i = 0; i < 20; i++)
-    run_loop_once (&f);
+    run_event_loop_once (&f);
   close (fd);
   RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_neq (f.failure, LB_OK);
@@ -277,8 +277,8 @@
 
   fixture_init (&f);
   start_fetch (&f, "GET", "", true, 50 * LB_MSEC);
-  int fd = server_accept_request (&f, "\r\n\r\n");
-  server_send (fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
+  int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
+  send_text_to_client (fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
   RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_eq (f.failure, LB_ERROR_TIMEOUT);
   cr_assert_eq (f.n_done, 1);
@@ -295,10 +295,11 @@
 
   fixture_init (&f);
   f.cancel_at_chunk = start_fetch (&f, "GET", "", true, 0);
-  int fd = server_accept_request (&f, "\r\n\r\n");
-  server_send (fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n3\r\ntwo\r\n");
+  int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
+  send_text_to_client (
+      fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n3\r\ntwo\r\n");
   RUN_LOOP_UNTIL (&f, f.n_chunks > 0);
-  RUN_LOOP_UNTIL (&f, (server_receive_and_find (&f, fd, NULL), f.is_closed));
+  RUN_LOOP_UNTIL (&f, (receive_bytes_and_search_request (&f, fd, NULL), f.is_closed));
   cr_assert_eq (f.n_chunks, 1);
   cr_assert_eq (f.n_done, 0);
   close (fd);
@@ -312,7 +313,7 @@
   fixture_init (&f);
   lh_fetch_cancel (start_fetch (&f, "GET", "", true, 0));
   for (int i = 0; i < 20; i++)
-    run_loop_once (&f);
+    run_event_loop_once (&f);
   cr_assert_eq (f.n_done, 0);
   fixture_clear (&f);
 }
@@ -351,7 +352,7 @@
 
   fixture_init (&f);
   start_fetch (&f, "GET", "", false, 0);
-  int server = server_accept_request (&f, "\r\n\r\n");
+  int server = accept_connection_and_receive_text (&f, "\r\n\r\n");
   for (int fd = 3; fd < 64; fd++)
     {
       struct sockaddr_in peer_address = { 0 };
@@ -376,7 +377,7 @@
 {
   Fixture f;
   LbError error = { 0 };
-  const LhHandlers handlers = { .on_done = record_result };
+  const LhHandlers handlers = { .on_done = record_fetch_result };
   LhRequest request = { .method = "BREW", .address = "127.0.0.1:1", .path = "/" };
 
   fixture_init (&f);
@@ -399,18 +400,18 @@
 
   fixture_init (&f);
   start_fetch (&f, "GET", "", false, 100 * LB_MSEC);
-  int fd = server_accept_request (&f, "\r\n\r\n");
-  server_send (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
+  int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
+  send_text_to_client (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
   RUN_LOOP_UNTIL (&f, f.n_done);
   wait_until = lb_clock_monotonic () + 500 * LB_MSEC;
   while (lb_clock_monotonic () < wait_until)
-    run_loop_once (&f);
+    run_event_loop_once (&f);
   f.request_length = 0;
-  server_receive_and_find (&f, fd, NULL);
+  receive_bytes_and_search_request (&f, fd, NULL);
   cr_assert_not (f.is_closed);
   f.n_done = 0;
   start_fetch (&f, "GET", "", false, 0);
-  RUN_LOOP_UNTIL (&f, server_receive_and_find (&f, fd, "\r\n\r\n"));
+  RUN_LOOP_UNTIL (&f, receive_bytes_and_search_request (&f, fd, "\r\n\r\n"));
   close (fd);
   fixture_clear (&f);
 }
@@ -425,15 +426,16 @@
 
   fixture_init (&f);
   start_fetch (&f, "GET", "", false, 0);
-  int fd = server_accept_request (&f, "\r\n\r\n");
-  server_send (fd, "HTTP/1.1 200 OK\r\nKeep-Alive: max=9, timeout=1\r\nContent-Length: 0\r\n\r\n");
+  int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
+  send_text_to_client (
+      fd, "HTTP/1.1 200 OK\r\nKeep-Alive: max=9, timeout=1\r\nContent-Length: 0\r\n\r\n");
   RUN_LOOP_UNTIL (&f, f.n_done);
   wait_until = lb_clock_monotonic () + 800 * LB_MSEC;
   while (lb_clock_monotonic () < wait_until)
-    run_loop_once (&f);
+    run_event_loop_once (&f);
   f.n_done = 0;
   start_fetch (&f, "GET", "", false, 0);
-  int new_fd = server_accept_request (&f, "\r\n\r\n");
+  int new_fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
   close (fd);
   close (new_fd);
   fixture_clear (&f);
@@ -447,9 +449,9 @@
   fixture_init (&f);
   const LhRequest request
       = { .method = "GET", .address = f.address, .path = "/", .host = "shop.example" };
-  const LhHandlers handlers = { .on_done = record_result };
+  const LhHandlers handlers = { .on_done = record_fetch_result };
   lh_fetch_start (f.pool, &request, &handlers, &f, NULL);
-  int fd = server_accept_request (&f, "\r\n\r\n");
+  int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
   cr_assert (strstr (f.request, "Host: shop.example\r\n"));
   close (fd);
   fixture_clear (&f);
@@ -484,7 +486,7 @@
                               .path = "/",
                               .connect_timeout = 200 * LB_MSEC,
                               .idle_timeout = 60 * LB_SEC };
-  const LhHandlers handlers = { .on_done = record_result };
+  const LhHandlers handlers = { .on_done = record_fetch_result };
   lh_fetch_start (f.pool, &request, &handlers, &f, NULL);
   RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_eq (f.failure, LB_ERROR_TIMEOUT);
--- a/packages/http/tests/test-sse.c
+++ b/packages/http/tests/test-sse.c
@@ -10,7 +10,7 @@
 } Events;
 
 static void
-append_event (const char *data, size_t length, void *user)
+append_sse_event_data (const char *data, size_t length, void *user)
 {
   Events *events = user;
 
@@ -34,8 +34,8 @@
         {
           size_t left = sizeof stream - 1 - offset;
           cr_assert (lh_sse_parse_data_lines (&sse, stream + offset,
-                                              chunk_size < left ? chunk_size : left, append_event,
-                                              &events, &error));
+                                              chunk_size < left ? chunk_size : left,
+                                              append_sse_event_data, &events, &error));
         }
       cr_assert_str_eq (events.text, "one|two||", "chunks of %zu bytes: %s", chunk_size,
                         events.text);
@@ -54,7 +54,7 @@
 
   lh_sse_init (&sse, 100);
   for (int i = 0; i < 20 && ok; i++)
-    ok = lh_sse_parse_data_lines (&sse, "aaaaaaaaaa", 10, append_event, &events, &error);
+    ok = lh_sse_parse_data_lines (&sse, "aaaaaaaaaa", 10, append_sse_event_data, &events, &error);
   cr_assert_not (ok);
   cr_assert_eq (error.code, LB_ERROR_BODY_TOO_LARGE);
   cr_assert_eq (events.count, 0);
@@ -68,7 +68,7 @@
   LbError error = { 0 };
 
   lh_sse_init (&sse, 100);
-  cr_assert (lh_sse_parse_data_lines (&sse, "", 0, append_event, &events, &error));
+  cr_assert (lh_sse_parse_data_lines (&sse, "", 0, append_sse_event_data, &events, &error));
   cr_assert_eq (events.count, 0);
   lh_sse_clear (&sse);
 }
