--- a/packages/wire/include/lw-frame.h
+++ b/packages/wire/include/lw-frame.h
@@ -11,7 +11,8 @@
  * follows as msgpack. */
 #define LW_FRAME_HEADER_BYTES 5
 
-/* Largest body of a frame, before and after the peer has proved that it knows the cluster key. */
+/* Largest accepted body of a frame in bytes, before and after the peer has proved that it knows the
+ * cluster key. */
 #define LW_FRAME_MAX_UNAUTHENTICATED_BODY_BYTES ((size_t)4096)
 #define LW_FRAME_MAX_BODY_BYTES ((size_t)8 << 20)
 
--- a/packages/wire/include/lw-handshake.h
+++ b/packages/wire/include/lw-handshake.h
@@ -24,8 +24,8 @@
                         const LcInstance *self,
                         const uint8_t nonce[LW_NONCE_BYTES]);
 void lw_handshake_build_hello (const LwHandshake *handshake, LwMessage *out);
-/* Handles a message of the peer. Sets *out to the reply to send; out->type is 0 if there is none.
- * Returns false with WRONG_KEY, or with FRAME_GARBLED for an unexpected message. */
+/* Verifies a handshake message of the peer. Sets *out to the reply to send; out->type is 0 if there
+ * is none. Returns false with WRONG_KEY, or with FRAME_GARBLED for an unexpected message. */
 bool lw_handshake_verify_and_answer_message (LwHandshake *handshake,
                                              const LwMessage *in,
                                              LwMessage *out,
--- a/packages/wire/src/lw-handshake.c
+++ b/packages/wire/src/lw-handshake.c
@@ -61,7 +61,7 @@
 }
 
 static bool
-is_mac_valid (const LwHandshake *handshake, bool by_dialler, const uint8_t mac[LW_MAC_BYTES])
+is_peer_mac_valid (const LwHandshake *handshake, bool by_dialler, const uint8_t mac[LW_MAC_BYTES])
 {
   uint8_t expected[LW_MAC_BYTES];
 
@@ -101,7 +101,7 @@
 {
   handshake->peer = in->instance;
   memcpy (handshake->peer_nonce, in->nonce, LW_NONCE_BYTES);
-  if (!is_mac_valid (handshake, false, in->mac))
+  if (!is_peer_mac_valid (handshake, false, in->mac))
     return set_wrong_key_error (error);
   out->type = LW_PROOF;
   if (!compute_mac (handshake, true, &handshake->self, out->mac))
@@ -129,7 +129,7 @@
     return answer_challenge_with_proof (handshake, in, out, error);
   if (handshake->has_challenged && in->type == LW_PROOF)
     {
-      handshake->done = is_mac_valid (handshake, true, in->mac);
+      handshake->done = is_peer_mac_valid (handshake, true, in->mac);
       return handshake->done ? true : set_wrong_key_error (error);
     }
   return lb_error_set (error, LB_ERROR_FRAME_GARBLED, "handshake",
--- a/packages/wire/src/lw-message.c
+++ b/packages/wire/src/lw-message.c
@@ -6,8 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define N_FULL_INSTANCE_FIELDS 10
-#define N_SHORT_INSTANCE_FIELDS 6
+/* Number of msgpack fields of an instance in full form, and in short form without the addresses. */
+#define N_FULL_FORM_INSTANCE_FIELDS 10
+#define N_SHORT_FORM_INSTANCE_FIELDS 6
 /* Largest number of instances in a frame. A single byte in a frame can claim to be an instance,
  * which takes hundreds of bytes in memory: without a limit, a frame of 8 MiB would allocate
  * gigabytes. */
@@ -39,7 +40,7 @@
 {
   bool full = instance->peer_address[0] != '\0';
 
-  msgpack_pack_array (packer, full ? N_FULL_INSTANCE_FIELDS : N_SHORT_INSTANCE_FIELDS);
+  msgpack_pack_array (packer, full ? N_FULL_FORM_INSTANCE_FIELDS : N_SHORT_FORM_INSTANCE_FIELDS);
   pack_text (packer, instance->name);
   msgpack_pack_uint64 (packer, instance->epoch);
   msgpack_pack_uint64 (packer, instance->version);
@@ -253,9 +254,9 @@
 read_instance (FieldReader *reader, LcInstance *instance)
 {
   FieldReader inner = open_nested_array (reader);
-  bool full = inner.n_unread == N_FULL_INSTANCE_FIELDS;
+  bool full = inner.n_unread == N_FULL_FORM_INSTANCE_FIELDS;
 
-  if (!full && inner.n_unread != N_SHORT_INSTANCE_FIELDS)
+  if (!full && inner.n_unread != N_SHORT_FORM_INSTANCE_FIELDS)
     inner.is_invalid = true;
   read_name (&inner, instance->name);
   instance->epoch = read_uint (&inner);
@@ -345,7 +346,7 @@
 }
 
 static uint64_t
-read_big_endian (const uint8_t *bytes, size_t operand_bytes)
+read_big_endian_uint (const uint8_t *bytes, size_t operand_bytes)
 {
   uint64_t value = 0;
 
@@ -357,7 +358,7 @@
 /* Returns the size in bytes of the length or number that follows a msgpack tag; 0 if the tag itself
  * contains the value. */
 static size_t
-msgpack_operand_bytes (uint8_t tag)
+get_msgpack_operand_size (uint8_t tag)
 {
   switch (tag)
     {
@@ -392,17 +393,17 @@
   bool is_map = tag >= 0x80 && tag <= 0x8f;
   bool is_single_byte = tag <= 0xbf || tag >= 0xe0 || tag == 0xc0 || tag == 0xc2 || tag == 0xc3;
 
-  return !is_map && (is_single_byte || msgpack_operand_bytes (tag) > 0);
+  return !is_map && (is_single_byte || get_msgpack_operand_size (tag) > 0);
 }
 
 /* Returns the size in bytes of the msgpack value at bytes, array elements excluded. Sets
  * *n_elements to the number of elements that the value claims to have. operand_bytes is the result
- * of msgpack_operand_bytes for its tag. */
+ * of get_msgpack_operand_size for its tag. */
 static uint64_t
-msgpack_value_size (const uint8_t *bytes, size_t operand_bytes, uint64_t *n_elements)
+get_msgpack_value_size (const uint8_t *bytes, size_t operand_bytes, uint64_t *n_elements)
 {
   uint8_t tag = bytes[0];
-  uint64_t number = read_big_endian (bytes + 1, operand_bytes);
+  uint64_t number = read_big_endian_uint (bytes + 1, operand_bytes);
   bool is_array = (tag & 0xf0) == 0x90 || tag == 0xdc || tag == 0xdd;
   bool is_short_string = (tag & 0xe0) == 0xa0;
   bool is_long_string = (tag >= 0xc4 && tag <= 0xc6) || (tag >= 0xd9 && tag <= 0xdb);
@@ -411,7 +412,7 @@
   return 1 + operand_bytes + (is_short_string ? tag & 0x1fU : is_long_string ? number : 0);
 }
 
-/* Whether the element counts in the body can be true: each element takes at least one byte. An
+/* Whether the body is long enough for its element counts: each element takes at least one byte. An
  * array header of five bytes that claims many million elements makes msgpack-c allocate gigabytes
  * before it reads the first element; nested arrays exceed the machine's memory. Maps, floats and
  * extension types occur in no message and are refused. */
@@ -426,10 +427,10 @@
     {
       if (offset >= length || !is_supported_msgpack_tag (bytes[offset]))
         return false;
-      size_t operand_bytes = msgpack_operand_bytes (bytes[offset]);
+      size_t operand_bytes = get_msgpack_operand_size (bytes[offset]);
       if (length - offset < 1 + operand_bytes)
         return false;
-      uint64_t size = msgpack_value_size (bytes + offset, operand_bytes, &n_elements);
+      uint64_t size = get_msgpack_value_size (bytes + offset, operand_bytes, &n_elements);
       if (size > length - offset)
         return false;
       offset += size;
--- a/packages/wire/tests/test-frames.c
+++ b/packages/wire/tests/test-frames.c
@@ -111,7 +111,7 @@
 }
 
 static void
-assert_refused_without_allocation (const uint8_t *body, size_t length)
+assert_body_refused_without_allocation (const uint8_t *body, size_t length)
 {
   long peak_before_kb = read_peak_memory_kb ();
   LwMessage message;
@@ -122,9 +122,9 @@
   cr_assert_lt (read_peak_memory_kb () - peak_before_kb, 1 << 18);
 }
 
-/* An array that a bit error damaged or that any client sent may claim many million elements, or
- * have as many elements of one byte each. Decoding the array would allocate gigabytes for a small
- * frame, and the process would be killed for lack of memory. */
+/* After a bit error or from a hostile client, a small frame may have an array header that claims
+ * many million elements, or an array of as many one-byte elements. Decoding it would allocate
+ * gigabytes, and the process would be killed for lack of memory. */
 Test (message, false_element_counts_are_refused_without_allocation)
 {
   static const uint8_t bodies[][8] = { { 0xdd, 0x0a, 0xaa, 0xaa, 0xaa, 0x05 },
@@ -136,10 +136,10 @@
   uint8_t *large_body = lb_malloc (n_elements + sizeof array_header);
 
   for (size_t i = 0; i < sizeof bodies / sizeof *bodies; i++)
-    assert_refused_without_allocation (bodies[i], sizeof bodies[i]);
+    assert_body_refused_without_allocation (bodies[i], sizeof bodies[i]);
   memset (large_body, 1, n_elements + sizeof array_header);
   memcpy (large_body, array_header, sizeof array_header);
-  assert_refused_without_allocation (large_body, n_elements + sizeof array_header);
+  assert_body_refused_without_allocation (large_body, n_elements + sizeof array_header);
   free (large_body);
 }
 
