--- a/packages/cli/src/lt-apply.c
+++ b/packages/cli/src/lt-apply.c
@@ -19,7 +19,7 @@
 } Options;
 
 static void
-init_change_options (Options *options)
+init_resource_change_options (Options *options)
 {
   options->dry_run = arg_lit0 ("n", "dry-run", "validate the change without applying it");
   options->force
@@ -108,7 +108,7 @@
   Options options;
   void *table[5 + LT_N_COMMON_ARGUMENTS];
 
-  init_change_options (&options);
+  init_resource_change_options (&options);
   options.files = arg_filen ("f", "file", "FILE", 1, 16, "resource file, JSON with comments");
   table[0] = options.files;
   table[1] = options.dry_run;
@@ -144,7 +144,7 @@
   Options options;
   void *table[6 + LT_N_COMMON_ARGUMENTS];
 
-  init_change_options (&options);
+  init_resource_change_options (&options);
   options.kind = arg_str1 (NULL, NULL, "KIND", "pool, subscription, version_bound or endpoint");
   options.name = arg_str1 (NULL, NULL, "NAME", "name of the resource");
   table[0] = options.kind;
--- a/packages/cli/src/lt-arguments.c
+++ b/packages/cli/src/lt-arguments.c
@@ -7,21 +7,21 @@
 #include <string.h>
 
 #define DEFAULT_ADDRESS "127.0.0.1:8080"
-#define ADDRESS_VARIABLE "LENTILSPINDLE_ADDRESS"
-#define TOKEN_VARIABLE "LENTILSPINDLE_TOKEN"
-#define MAX_PRINTED_ERRORS 10
+#define ADDRESS_ENVIRONMENT_VARIABLE "LENTILSPINDLE_ADDRESS"
+#define TOKEN_ENVIRONMENT_VARIABLE "LENTILSPINDLE_TOKEN"
+#define MAX_PRINTED_USAGE_ERRORS 10
 
 void
 lt_arguments_init (LtArguments *arguments, void **table)
 {
-  arguments->address
-      = arg_str0 ("a", "address", "IP:PORT",
-                  "address of an instance (default: $" ADDRESS_VARIABLE " or " DEFAULT_ADDRESS ")");
-  arguments->token
-      = arg_str0 (NULL, "token", "TOKEN", "operator token (default: $" TOKEN_VARIABLE ")");
+  arguments->address = arg_str0 ("a", "address", "IP:PORT",
+                                 "address of an instance (default: $" ADDRESS_ENVIRONMENT_VARIABLE
+                                 " or " DEFAULT_ADDRESS ")");
+  arguments->token = arg_str0 (NULL, "token", "TOKEN",
+                               "operator token (default: $" TOKEN_ENVIRONMENT_VARIABLE ")");
   arguments->output = arg_str0 ("o", "output", "json|table", "output format (default: table)");
   arguments->help = arg_lit0 (NULL, "help", "print this help");
-  arguments->end = arg_end (MAX_PRINTED_ERRORS);
+  arguments->end = arg_end (MAX_PRINTED_USAGE_ERRORS);
   table[0] = arguments->address;
   table[1] = arguments->token;
   table[2] = arguments->output;
@@ -81,9 +81,9 @@
 }
 
 static const char *
-get_option_or_environment (const struct arg_str *option,
-                           const char *variable,
-                           const char *default_value)
+get_option_or_environment_value (const struct arg_str *option,
+                                 const char *variable,
+                                 const char *default_value)
 {
   const char *from_environment = getenv (variable);
 
@@ -95,9 +95,11 @@
 LtClient *
 lt_arguments_new_client (const LtArguments *arguments)
 {
-  return lt_client_new (get_option_or_environment (arguments->address, ADDRESS_VARIABLE,
-                                                   DEFAULT_ADDRESS),
-                        get_option_or_environment (arguments->token, TOKEN_VARIABLE, ""));
+  return lt_client_new (get_option_or_environment_value (arguments->address,
+                                                         ADDRESS_ENVIRONMENT_VARIABLE,
+                                                         DEFAULT_ADDRESS),
+                        get_option_or_environment_value (arguments->token,
+                                                         TOKEN_ENVIRONMENT_VARIABLE, ""));
 }
 
 int
--- a/packages/cli/src/lt-bench.c
+++ b/packages/cli/src/lt-bench.c
@@ -42,7 +42,10 @@
 #define NO_TRAINERS_POLICY "lentilspindle (no trainers)"
 
 static bool
-simulate_policy (const BenchOptions *bench, const char *policy, uint64_t seed, LxResult *result)
+simulate_routing_policy (const BenchOptions *bench,
+                         const char *policy,
+                         uint64_t seed,
+                         LxResult *result)
 {
   LxOptions options;
   bool without_trainers = strcmp (policy, NO_TRAINERS_POLICY) == 0;
@@ -74,7 +77,7 @@
 }
 
 static void
-print_table_header (void)
+print_benchmark_table_header (void)
 {
   printf ("%-36s %5s %6s %9s %6s %6s %4s %8s %8s %8s %6s %5s %5s %5s %7s %7s %6s %9s\n", "policy",
           "seed", "steps", "idle_s", "floor", "stale~", "max", "p50_ms", "p99_ms", "refused",
@@ -82,7 +85,7 @@
 }
 
 static void
-print_result_row (const LxResult *result)
+print_benchmark_result_row (const LxResult *result)
 {
   printf ("%-36s %5" PRIu64 " %6" PRId64 " %9.2f %6.2f %6.3f %4" PRId64 " %8.1f %8.1f %8" PRId64
           " %6" PRId64 " %5" PRId64 " %5" PRId64 " %5" PRId64 " %7.4f %7.3f %6.3f %9.0f\n",
@@ -97,7 +100,7 @@
 /* Writes the names of all routing policies, of the least-outstanding policy with each single
  * roll-out mechanism, and of the run without trainers. Returns the number of names. */
 static size_t
-list_policy_names (char policies[MAX_POLICIES][128])
+copy_policy_names (char policies[MAX_POLICIES][128])
 {
   size_t n = 0;
 
@@ -114,7 +117,7 @@
 run_benchmark (const BenchOptions *bench)
 {
   char policies[MAX_POLICIES][128];
-  size_t n_policies = bench->policy ? 1 : list_policy_names (policies);
+  size_t n_policies = bench->policy ? 1 : copy_policy_names (policies);
   LxResult *results = LB_NEW_ARRAY (LxResult, n_policies * (size_t)bench->n_seeds);
   struct json_object *array = json_object_new_array ();
   size_t n = 0;
@@ -123,12 +126,12 @@
   if (bench->policy)
     snprintf (policies[0], 128, "%s", bench->policy);
   if (!bench->json)
-    print_table_header ();
+    print_benchmark_table_header ();
   for (size_t i = 0; i < n_policies; i++)
     for (int64_t j = 0; j < bench->n_seeds; j++)
       {
         LxResult *result = &results[n];
-        if (!simulate_policy (bench, policies[i], bench->seed + (uint64_t)j, result))
+        if (!simulate_routing_policy (bench, policies[i], bench->seed + (uint64_t)j, result))
           {
             fprintf (stderr, "lentilspindle bench: unknown policy '%s'\n", policies[i]);
             goto out;
@@ -136,7 +139,7 @@
         n++;
         json_object_array_add (array, lx_result_to_json (result));
         if (!bench->json)
-          print_result_row (result);
+          print_benchmark_result_row (result);
       }
   if (bench->json)
     puts (json_object_to_json_string_ext (array, JSON_C_TO_STRING_PRETTY));
--- a/packages/cli/src/lt-command.c
+++ b/packages/cli/src/lt-command.c
@@ -32,7 +32,7 @@
 }
 
 static const LtCommand *
-find_command (const char *name)
+find_subcommand (const char *name)
 {
   for (const LtCommand *command = commands; command->name; command++)
     if (strcmp (command->name, name) == 0)
@@ -59,7 +59,7 @@
       return LT_EXIT_OK;
     }
 
-  const LtCommand *command = find_command (argv[1]);
+  const LtCommand *command = find_subcommand (argv[1]);
   if (!command)
     {
       fprintf (stderr, "lentilspindle: unknown command '%s'; see lentilspindle --help\n", argv[1]);
--- a/packages/cli/src/lt-cost.c
+++ b/packages/cli/src/lt-cost.c
@@ -26,7 +26,7 @@
 #define GROUPS_PER_STEP 256
 #define SAMPLES_PER_GROUP 8
 #define TOKENS_PER_SAMPLE 365
-#define TOKENS_PER_PIECE 16
+#define TOKENS_PER_ANSWER_PIECE 16
 #define N_WAITING_REQUESTS 2000
 
 /* Collects measurements: time per operation, and bytes per message or per object in memory. Prints
@@ -157,7 +157,7 @@
 
 /* Measures the time to process a load report, sent by n_endpoints endpoints in turn. */
 static void
-measure_load_reports (Measurements *measurements, size_t n_endpoints)
+measure_load_report_processing (Measurements *measurements, size_t n_endpoints)
 {
   LcResourceSet *set = make_resource_set (n_endpoints);
   LcDispatchSettings settings = { .policy = "lentilspindle", .queue_limit = 4096 };
@@ -221,8 +221,8 @@
   lc_resource_set_free (set);
 }
 
-/* A training step that passes through LcRollouts and LcDispatch. Its simulated endpoints answer
- * immediately. */
+/* State of a training step executed by LcRollouts, which plans its samples, and LcDispatch, which
+ * sends their requests to simulated endpoints that answer immediately. */
 typedef struct
 {
   LcDispatch *dispatch;
@@ -231,7 +231,7 @@
   LbList rollout_actions;
   LbTime now;
   size_t n_ledger_writes;
-  size_t ledger_bytes; /* size of the last ledger row written */
+  size_t ledger_bytes; /* size in bytes of the last row written to the step's ledger */
   size_t n_samples;
   size_t n_decisions;
   char *cursor;
@@ -240,10 +240,10 @@
 static void
 simulate_endpoint_answer (Step *step, const LcAction *send)
 {
-  for (int64_t offset = 0; offset < TOKENS_PER_SAMPLE; offset += TOKENS_PER_PIECE)
+  for (int64_t offset = 0; offset < TOKENS_PER_SAMPLE; offset += TOKENS_PER_ANSWER_PIECE)
     {
-      LcPiece piece = { .offset = offset, .tokens = TOKENS_PER_PIECE, .version = 3 };
-      if (offset + TOKENS_PER_PIECE >= TOKENS_PER_SAMPLE)
+      LcPiece piece = { .offset = offset, .tokens = TOKENS_PER_ANSWER_PIECE, .version = 3 };
+      if (offset + TOKENS_PER_ANSWER_PIECE >= TOKENS_PER_SAMPLE)
         {
           piece.tokens = TOKENS_PER_SAMPLE - offset;
           piece.last = true;
@@ -331,7 +331,7 @@
 }
 
 static void
-fill_step_spec (LcStepSpec *spec)
+fill_training_step_spec (LcStepSpec *spec)
 {
   LB_COPY (spec->subscription, "trainer");
   spec->step = 1;
@@ -348,7 +348,7 @@
 }
 
 static void
-pull_samples (Step *step, uint64_t pull_id)
+pull_training_step_samples (Step *step, uint64_t pull_id)
 {
   char *cursor = lb_strdup (step->cursor);
   LcPull request = { .id = pull_id,
@@ -371,7 +371,7 @@
 }
 
 static void
-init_step (Step *step, const LcResourceSet *set)
+init_training_step (Step *step, const LcResourceSet *set)
 {
   LcDispatchSettings dispatch = { .policy = "lentilspindle", .queue_limit = 4096 };
   LcRolloutSettings rollouts = lc_rollout_settings_default ();
@@ -403,15 +403,15 @@
   LbError error = { 0 };
   Step step;
 
-  init_step (&step, set);
-  fill_step_spec (&spec);
+  init_training_step (&step, set);
+  fill_training_step_spec (&spec);
   double before = get_allocated_heap_bytes ();
   LbTime started_at = lb_clock_monotonic ();
   lc_rollouts_open_step (step.rollouts, &spec, 1, step.now, &step.rollout_actions, &error);
   double memory = get_allocated_heap_bytes () - before;
   execute_pending_actions (&step);
   for (uint64_t i = 1; step.n_samples < slots && i < 10000; i++)
-    pull_samples (&step, i);
+    pull_training_step_samples (&step, i);
   if (step.n_samples == slots)
     {
       add_measurement (measurements, "sample-life", n_endpoints,
@@ -456,7 +456,7 @@
 /* Measures the memory per known instance, and the time of a membership tick after one received
  * heartbeat. The membership knows n_instances instances. */
 static void
-measure_membership (Measurements *measurements, size_t n_instances)
+measure_membership_tick (Measurements *measurements, size_t n_instances)
 {
   LcMembershipSettings settings = lc_membership_settings_default ();
   LcInstance *instances = LB_NEW_ARRAY (LcInstance, n_instances);
@@ -566,12 +566,12 @@
   for (size_t i = 0; i < 3; i++)
     measure_routing_decision (measurements, endpoint_counts[i]);
   for (size_t i = 0; i < 3; i++)
-    measure_load_reports (measurements, endpoint_counts[i]);
+    measure_load_report_processing (measurements, endpoint_counts[i]);
   measure_waiting_requests (measurements);
   for (size_t i = 0; i < 3; i++)
     measure_training_step (measurements, endpoint_counts[i]);
   for (size_t i = 0; i < 3; i++)
-    measure_membership (measurements, instance_counts[i]);
+    measure_membership_tick (measurements, instance_counts[i]);
   measure_membership_messages (measurements);
   for (size_t i = 0; i < 3; i++)
     measure_configuration_change (measurements, endpoint_counts[i]);
--- a/packages/cli/src/lt-get.c
+++ b/packages/cli/src/lt-get.c
@@ -89,7 +89,7 @@
 }
 
 static struct json_object *
-find_resource (struct json_object *list, struct json_object *wanted)
+find_resource_by_kind_and_name (struct json_object *list, struct json_object *wanted)
 {
   for (size_t i = 0; i < json_object_array_length (list); i++)
     {
@@ -102,7 +102,7 @@
 }
 
 static void
-print_changed_keys (struct json_object *before, struct json_object *after)
+print_changed_resource_keys (struct json_object *before, struct json_object *after)
 {
   printf ("~ %s/%s\n", lt_json_get_text (after, "kind"), lt_json_get_text (after, "name"));
   json_object_object_foreach (after, key, value)
@@ -129,12 +129,12 @@
   for (size_t i = 0; i < json_object_array_length (new_list); i++)
     {
       struct json_object *resource = json_object_array_get_idx (new_list, i);
-      struct json_object *old = find_resource (old_list, resource);
+      struct json_object *old = find_resource_by_kind_and_name (old_list, resource);
       if (old && json_object_equal (old, resource))
         continue;
       n_different++;
       if (old)
-        print_changed_keys (old, resource);
+        print_changed_resource_keys (old, resource);
       else
         printf ("+ %s/%s\n", lt_json_get_text (resource, "kind"),
                 lt_json_get_text (resource, "name"));
@@ -145,7 +145,7 @@
 }
 
 static int
-print_diff_with_accepted_set (const Options *options)
+print_diff_with_accepted_resources (const Options *options)
 {
   LbError error = { .code = LB_OK };
   int code = LT_EXIT_USAGE;
@@ -194,7 +194,7 @@
           &options.common, table, 1 + LT_N_COMMON_ARGUMENTS, argc, argv,
           "Prints what applying the files would change; exits with 1 if they change anything.",
           &code))
-    code = print_diff_with_accepted_set (&options);
+    code = print_diff_with_accepted_resources (&options);
   arg_freetable (table, 1 + LT_N_COMMON_ARGUMENTS);
   return code;
 }
--- a/packages/cli/src/lt-report.c
+++ b/packages/cli/src/lt-report.c
@@ -20,37 +20,37 @@
 typedef double (*Metric) (const LxResult *result);
 
 static double
-get_idle_seconds (const LxResult *result)
+get_mean_trainer_idle_seconds (const LxResult *result)
 {
   return result->idle_seconds;
 }
 
 static double
-get_staleness_mean (const LxResult *result)
+get_mean_sample_staleness (const LxResult *result)
 {
   return result->staleness_mean;
 }
 
 static double
-get_live_p50_ms (const LxResult *result)
+get_live_call_latency_p50_ms (const LxResult *result)
 {
   return result->live_p50_ms;
 }
 
 static double
-get_live_p99_ms (const LxResult *result)
+get_live_call_latency_p99_ms (const LxResult *result)
 {
   return result->live_p99_ms;
 }
 
 static double
-get_imbalance (const LxResult *result)
+get_engine_token_imbalance (const LxResult *result)
 {
   return result->imbalance;
 }
 
 static double
-find_max_metric (const LxResult *results, size_t n, Metric metric)
+find_max_metric_value (const LxResult *results, size_t n, Metric metric)
 {
   double max = 1e-9;
 
@@ -62,8 +62,8 @@
 static void
 write_idle_time_scatter (FILE *out, const LxResult *results, size_t n)
 {
-  double x_max = find_max_metric (results, n, get_staleness_mean) * 1.1;
-  double y_max = find_max_metric (results, n, get_idle_seconds) * 1.1;
+  double x_max = find_max_metric_value (results, n, get_mean_sample_staleness) * 1.1;
+  double y_max = find_max_metric_value (results, n, get_mean_trainer_idle_seconds) * 1.1;
 
   fprintf (out, "<h2>Idle time against staleness</h2>\n<svg width=\"%d\" height=\"%d\">\n",
            CHART_WIDTH_PX, CHART_HEIGHT_PX);
@@ -90,7 +90,7 @@
 static void
 write_bar_chart (FILE *out, const char *title, const LxResult *results, size_t n, Metric metric)
 {
-  double max = find_max_metric (results, n, metric);
+  double max = find_max_metric_value (results, n, metric);
 
   fprintf (out, "<h2>%s</h2>\n<svg width=\"%d\" height=\"%zu\">\n", title, CHART_WIDTH_PX,
            n * BAR_PITCH_PX + 10);
@@ -125,10 +125,11 @@
            "<style>body{font-family:sans-serif;margin:2em}</style><h1>bench, %s</h1>\n",
            site, site);
   write_idle_time_scatter (out, results, n);
-  write_bar_chart (out, "Live latency, median, ms", results, n, get_live_p50_ms);
-  write_bar_chart (out, "Live latency, 99th percentile, ms", results, n, get_live_p99_ms);
+  write_bar_chart (out, "Live latency, median, ms", results, n, get_live_call_latency_p50_ms);
+  write_bar_chart (out, "Live latency, 99th percentile, ms", results, n,
+                   get_live_call_latency_p99_ms);
   write_bar_chart (out, "Load of the busiest engine relative to the mean", results, n,
-                   get_imbalance);
+                   get_engine_token_imbalance);
   fputs ("</html>\n", out);
   written = true;
 out:
--- a/packages/cli/src/lt-resources.c
+++ b/packages/cli/src/lt-resources.c
@@ -10,7 +10,7 @@
 #include <string.h>
 #include <unistd.h>
 
-#define LONG_POLL_MS 1000
+#define LONG_POLL_WAIT_MS 1000
 #define CALL_IDLE_TIMEOUT (15 * LB_SEC)
 #define MAX_SEND_ATTEMPTS 3
 
@@ -102,7 +102,7 @@
 }
 
 static bool
-is_in_force_on_all_instances (struct json_object *body)
+is_revision_in_force_on_all_instances (struct json_object *body)
 {
   struct json_object *in_force = json_object_object_get (body, "in_force");
 
@@ -123,13 +123,13 @@
   LbTime deadline = lb_clock_monotonic () + timeout;
   const LtCall call = { .method = "GET", .path = path, .idle_timeout = CALL_IDLE_TIMEOUT };
 
-  for (int long_poll_ms = 0;; long_poll_ms = LONG_POLL_MS)
+  for (int long_poll_ms = 0;; long_poll_ms = LONG_POLL_WAIT_MS)
     {
       snprintf (path, sizeof path, "/v1/resources/watch?after=%lld&wait_ms=%d", (long long)revision,
                 long_poll_ms);
       bool ok = lt_client_call (client, &call, &reply, error);
       bool is_active = ok && lt_json_get_integer (reply.body, "accepted") >= revision
-                       && is_in_force_on_all_instances (reply.body);
+                       && is_revision_in_force_on_all_instances (reply.body);
       lt_reply_clear (&reply);
       if (!ok)
         return false;
--- a/packages/cli/src/lt-soak.c
+++ b/packages/cli/src/lt-soak.c
@@ -23,7 +23,7 @@
 }
 
 static int
-run_soak_seeds (LxSoak *soak, int n_seeds, bool shrink)
+run_soak_with_seeds (LxSoak *soak, int n_seeds, bool shrink)
 {
   int n_failed = 0;
 
@@ -78,7 +78,7 @@
       goto out;
     }
   lb_log_init (LB_LOG_OFF, 2, NULL);
-  code = run_soak_seeds (&soak, seeds->count ? *seeds->ival : 1, shrink->count > 0);
+  code = run_soak_with_seeds (&soak, seeds->count ? *seeds->ival : 1, shrink->count > 0);
 out:
   arg_freetable (table, sizeof table / sizeof table[0]);
   return code;
--- a/packages/cli/src/lt-watch.c
+++ b/packages/cli/src/lt-watch.c
@@ -8,7 +8,7 @@
 #include <string.h>
 #include <time.h>
 
-#define LONG_POLL_MS 10000
+#define LONG_POLL_WAIT_MS 10000
 #define CALL_IDLE_TIMEOUT (30 * LB_SEC)
 #define DEFAULT_HISTORY_LIMIT 20
 
@@ -20,7 +20,7 @@
 } Options;
 
 static void
-print_names (struct json_object *names)
+print_instance_names (struct json_object *names)
 {
   for (size_t i = 0; i < json_object_array_length (names); i++)
     printf (" %s", json_object_get_string (json_object_array_get_idx (names, i)));
@@ -41,7 +41,7 @@
     if (behind && json_object_array_length (behind) > 0)
       {
         fputs (", behind:", stdout);
-        print_names (behind);
+        print_instance_names (behind);
       }
     putchar ('\n');
   }
@@ -64,7 +64,7 @@
     {
       /* Without --after the first call doesn't wait for a new revision. */
       snprintf (path, sizeof path, "/v1/resources/watch?after=%lld&wait_ms=%d",
-                after < 0 ? 0 : after, after < 0 ? 0 : LONG_POLL_MS);
+                after < 0 ? 0 : after, after < 0 ? 0 : LONG_POLL_WAIT_MS);
       keep_watching = lt_client_call (client, &call, &reply, &error);
       if (!keep_watching)
         code = lt_print_error (&error);
@@ -101,7 +101,7 @@
 }
 
 static void
-print_history_row (struct json_object *row)
+print_change_history_row (struct json_object *row)
 {
   char at[32];
   time_t seconds = (time_t)(lt_json_get_integer (row, "at_ms") / 1000);
@@ -116,17 +116,17 @@
 }
 
 static void
-print_history (struct json_object *body)
+print_change_history (struct json_object *body)
 {
   struct json_object *rows = json_object_object_get (body, "changes");
 
   printf ("%-9s %-20s %-24s %s\n", "REVISION", "WHEN", "WHO", "CHANGE");
   for (size_t i = 0; i < json_object_array_length (rows); i++)
-    print_history_row (json_object_array_get_idx (rows, i));
+    print_change_history_row (json_object_array_get_idx (rows, i));
 }
 
 static void
-print_status_list (struct json_object *body, const char *key)
+print_cluster_status_list (struct json_object *body, const char *key)
 {
   struct json_object *list = json_object_object_get (body, key);
 
@@ -146,22 +146,22 @@
 }
 
 static void
-print_status (struct json_object *body)
+print_cluster_status (struct json_object *body)
 {
   json_object_object_foreach (body, key, value)
   {
     if (!json_object_is_type (value, json_type_array))
       printf ("%-22s %s\n", key, json_object_get_string (value));
   }
-  print_status_list (body, "instances");
-  print_status_list (body, "leases");
-  print_status_list (body, "roll_outs");
+  print_cluster_status_list (body, "instances");
+  print_cluster_status_list (body, "leases");
+  print_cluster_status_list (body, "roll_outs");
 }
 
 static int
-fetch_and_print_body (const Options *options,
-                      const char *path,
-                      void (*print_body) (struct json_object *body))
+fetch_and_print_reply_body (const Options *options,
+                            const char *path,
+                            void (*print_body) (struct json_object *body))
 {
   LtReply reply;
   LbError error = { .code = LB_OK };
@@ -195,7 +195,7 @@
     {
       snprintf (path, sizeof path, "/v1/history?limit=%d",
                 options.number->count > 0 ? options.number->ival[0] : DEFAULT_HISTORY_LIMIT);
-      code = fetch_and_print_body (&options, path, print_history);
+      code = fetch_and_print_reply_body (&options, path, print_change_history);
     }
   arg_freetable (table, 1 + LT_N_COMMON_ARGUMENTS);
   return code;
@@ -212,7 +212,7 @@
   if (lt_arguments_parse (
           &options.common, table, LT_N_COMMON_ARGUMENTS, argc, argv,
           "Prints the instance's state, all instances and revisions, leases and roll-outs.", &code))
-    code = fetch_and_print_body (&options, "/v1/status", print_status);
+    code = fetch_and_print_reply_body (&options, "/v1/status", print_cluster_status);
   arg_freetable (table, LT_N_COMMON_ARGUMENTS);
   return code;
 }
