--- a/standins/si-cache.c
+++ b/standins/si-cache.c
@@ -36,7 +36,7 @@
 }
 
 static void
-evict_block (SiCache *cache, SiCacheBlock *block)
+evict_cache_block (SiCache *cache, SiCacheBlock *block)
 {
   record_cache_event (cache, block->prefix_hash, false);
   lb_list_remove (&cache->lru, &block->link);
@@ -48,7 +48,7 @@
 si_cache_evict_all_blocks (SiCache *cache)
 {
   LB_LIST_FOREACH (&cache->lru, SiCacheBlock, link, block)
-  evict_block (cache, block);
+  evict_cache_block (cache, block);
 }
 
 void
@@ -60,7 +60,7 @@
 /* Makes the block the most recently used one and inserts it if it is missing. Returns whether it
  * was already cached. */
 static bool
-touch_or_insert_block (SiCache *cache, uint64_t prefix_hash)
+touch_or_insert_cache_block (SiCache *cache, uint64_t prefix_hash)
 {
   SiCacheBlock *block = NULL;
 
@@ -72,7 +72,7 @@
       return true;
     }
   if (cache->lru.length >= cache->max_blocks)
-    evict_block (cache, LB_CONTAINER (cache->lru.head.next, SiCacheBlock, link));
+    evict_cache_block (cache, LB_CONTAINER (cache->lru.head.next, SiCacheBlock, link));
   block = LB_NEW (SiCacheBlock);
   block->prefix_hash = prefix_hash;
   HASH_ADD (hh, cache->blocks, prefix_hash, sizeof prefix_hash, block);
@@ -90,7 +90,7 @@
   if (cache->max_blocks == 0)
     return 0;
   for (size_t k = 1; k <= SI_CACHE_MAX_PROMPT_BLOCKS && k * SI_CACHE_BLOCK_BYTES <= length; k++)
-    if (touch_or_insert_block (cache, XXH3_64bits (prompt, k * SI_CACHE_BLOCK_BYTES)))
+    if (touch_or_insert_cache_block (cache, XXH3_64bits (prompt, k * SI_CACHE_BLOCK_BYTES)))
       cached_bytes = k * SI_CACHE_BLOCK_BYTES;
   return cached_bytes;
 }
--- a/standins/si-control-plane.c
+++ b/standins/si-control-plane.c
@@ -52,9 +52,9 @@
 /* Counts the call and returns the HTTP status of its reply: 429 in mode BUSY, 409 if the fencing
  * token is outdated, otherwise 200. */
 static int
-check_call_admission (SiControlPlane *control_plane,
-                      const char *duty_holder,
-                      const char *fence_text)
+count_call_and_get_reply_status (SiControlPlane *control_plane,
+                                 const char *duty_holder,
+                                 const char *fence_text)
 {
   int64_t fence = fence_text ? atoll (fence_text) : -1;
 
@@ -76,8 +76,8 @@
 {
   SiControlPlane *control_plane = user;
   const char *duty_holder = si_request_get_header (request, "Duty-Holder");
-  int status = check_call_admission (control_plane, duty_holder,
-                                     si_request_get_header (request, "Fence-Token"));
+  int status = count_call_and_get_reply_status (control_plane, duty_holder,
+                                                si_request_get_header (request, "Fence-Token"));
   struct json_object *body = si_request_parse_body (request);
 
   if (status == 200 && si_request_has_method_and_path (request, EVHTTP_REQ_POST, "/usage"))
--- a/standins/si-endpoint.c
+++ b/standins/si-endpoint.c
@@ -14,7 +14,7 @@
 #include <strings.h>
 #include <sys/queue.h>
 
-#define REGISTER_INTERVAL (300 * LB_MSEC)
+#define REGISTRATION_INTERVAL (300 * LB_MSEC)
 #define CRASH_DELAY (20 * LB_MSEC)
 #define DEFAULT_RESTART_DELAY (400 * LB_MSEC)
 #define INITIAL_START_TIME_MS 1700000000000 /* arbitrary Unix time in milliseconds */
@@ -156,7 +156,7 @@
 }
 
 static void
-handle_weight_order (SiEndpoint *endpoint, struct evhttp_request *request)
+handle_weight_load_order (SiEndpoint *endpoint, struct evhttp_request *request)
 {
   struct json_object *order = si_request_parse_body (request);
   int64_t fence = si_json_get_int (order, "fence", 0);
@@ -186,7 +186,7 @@
 }
 
 static struct json_object *
-models_to_json (const SiEndpoint *endpoint)
+endpoint_models_to_json (const SiEndpoint *endpoint)
 {
   struct json_object *models = json_object_new_array ();
   struct json_object *model = json_object_new_object ();
@@ -207,17 +207,17 @@
 {
   struct json_object *object = json_object_new_object ();
 
-  json_object_object_add (object, "models", models_to_json (endpoint));
+  json_object_object_add (object, "models", endpoint_models_to_json (endpoint));
   json_object_object_add (object, "busy", json_object_new_boolean (endpoint->loading_version != 0));
   si_json_set_int (object, "seq", endpoint->accepted_orders);
   si_json_set_int (object, "born", endpoint->start_ms);
   si_reply_json (request, 200, object);
 }
 
-/* --- request headers and calls without a model --- */
+/* --- request headers, and calls to an endpoint without a model --- */
 
 static void
-record_tenant_and_api_key_headers (SiEndpoint *endpoint, struct evhttp_request *request)
+record_tenant_and_count_api_key_headers (SiEndpoint *endpoint, struct evhttp_request *request)
 {
   const struct evkeyval *header;
   char tenants[LB_NAME_MAX] = "";
@@ -258,7 +258,7 @@
 }
 
 static void
-on_call_caller_disconnected (struct evhttp_connection *connection, void *user)
+on_service_caller_disconnected (struct evhttp_connection *connection, void *user)
 {
   (void)connection;
   PendingCall *call = user;
@@ -282,7 +282,7 @@
 }
 
 static void
-on_call_reply_due (evutil_socket_t fd, short what, void *user)
+on_service_reply_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
@@ -300,10 +300,10 @@
 
   call->endpoint = endpoint;
   call->request = request;
-  call->timer = evtimer_new (endpoint->server.base, on_call_reply_due, call);
+  call->timer = evtimer_new (endpoint->server.base, on_service_reply_due, call);
   lb_list_append (&endpoint->running_calls, &call->link);
   evhttp_connection_set_closecb (evhttp_request_get_connection (request),
-                                 on_call_caller_disconnected, call);
+                                 on_service_caller_disconnected, call);
   return call;
 }
 
@@ -321,10 +321,10 @@
     start_timer (pending_call_new (endpoint, request)->timer, endpoint->call_duration);
 }
 
-/* --- crashes and restarts --- */
+/* --- simulated crashes and restarts --- */
 
 static bool
-is_fatal_request (const SiEndpoint *endpoint, struct evhttp_request *request)
+has_fatal_request_body (const SiEndpoint *endpoint, struct evhttp_request *request)
 {
   char *body = endpoint->fatal_body ? si_request_copy_body (request) : NULL;
   bool is_fatal = body && strcmp (body, endpoint->fatal_body) == 0;
@@ -336,7 +336,7 @@
 /* Leaves the request unanswered until the endpoint crashes. The listener's callback crashes the
  * endpoint; without a callback a timer does so after CRASH_DELAY. */
 static void
-start_fatal_request (SiEndpoint *endpoint, struct evhttp_request *request)
+start_request_with_fatal_body (SiEndpoint *endpoint, struct evhttp_request *request)
 {
   const char *id = si_request_get_header (request, "Attempt-Id");
 
@@ -402,11 +402,11 @@
 }
 
 static void
-handle_stream_or_call_request (SiEndpoint *endpoint, struct evhttp_request *request)
+route_stream_or_service_request (SiEndpoint *endpoint, struct evhttp_request *request)
 {
-  record_tenant_and_api_key_headers (endpoint, request);
-  if (is_fatal_request (endpoint, request))
-    start_fatal_request (endpoint, request);
+  record_tenant_and_count_api_key_headers (endpoint, request);
+  if (has_fatal_request_body (endpoint, request))
+    start_request_with_fatal_body (endpoint, request);
   else if (!endpoint->model[0])
     handle_service_call (endpoint, request);
   else if (endpoint->loading_version != 0)
@@ -430,17 +430,17 @@
       evhttp_send_reply (request, 421, NULL, NULL);
     }
   else if (si_request_has_method_and_path (request, EVHTTP_REQ_POST, "/-/order"))
-    handle_weight_order (endpoint, request);
+    handle_weight_load_order (endpoint, request);
   else if (si_request_has_method_and_path (request, EVHTTP_REQ_GET, "/-/report"))
     reply_status_report (endpoint, request);
   else
-    handle_stream_or_call_request (endpoint, request);
+    route_stream_or_service_request (endpoint, request);
 }
 
 void
 si_endpoint_register (SiEndpoint *endpoint)
 {
-  const struct timeval period = { .tv_usec = REGISTER_INTERVAL };
+  const struct timeval period = { .tv_usec = REGISTRATION_INTERVAL };
   struct json_object *object = json_object_new_object ();
 
   si_json_set_text (object, "service", endpoint->service);
@@ -454,7 +454,7 @@
   si_json_set_int (object, "seq", ++endpoint->entry_sequence);
   si_json_set_int (object, "born", endpoint->start_ms);
   si_json_set_text (object, "state", endpoint->draining ? "draining" : "ready");
-  json_object_object_add (object, "models", models_to_json (endpoint));
+  json_object_object_add (object, "models", endpoint_models_to_json (endpoint));
   si_row_store_put (endpoint->store, "servers", "", endpoint->name,
                     json_object_to_json_string (object));
   json_object_put (object);
--- a/standins/si-engine-orders.c
+++ b/standins/si-engine-orders.c
@@ -45,7 +45,7 @@
 }
 
 static void
-reply_stale_fence_error (const SiEngine *engine, struct evhttp_request *request)
+reply_stale_fencing_token_error (const SiEngine *engine, struct evhttp_request *request)
 {
   struct json_object *object = json_object_new_object ();
   struct json_object *error = json_object_new_object ();
@@ -90,7 +90,7 @@
   int64_t fence = si_json_get_int (order, "fence", 0);
   if (engine->settings.checks_fence && fence < engine->fence)
     {
-      reply_stale_fence_error (engine, request);
+      reply_stale_fencing_token_error (engine, request);
       goto out;
     }
   if (fence > engine->fence)
--- a/standins/si-engine-run.c
+++ b/standins/si-engine-run.c
@@ -291,7 +291,7 @@
 }
 
 static void
-advance_completion (Completion *completion, size_t prefill_budget)
+prefill_or_generate_token (Completion *completion, size_t prefill_budget)
 {
   if (completion->prefill_bytes > prefill_budget)
     completion->prefill_bytes -= prefill_budget;
@@ -315,12 +315,12 @@
   if (si_engine_is_loading_weights (engine))
     return;
   LB_LIST_FOREACH (&engine->running, Completion, link, completion)
-  advance_completion (completion, prefill_budget);
+  prefill_or_generate_token (completion, prefill_budget);
   si_engine_schedule_batch_step (engine);
 }
 
 static void
-send_keep_alives (LbList *list, LbTime now)
+send_due_keep_alives (LbList *list, LbTime now)
 {
   LB_LIST_FOREACH (list, Completion, link, completion)
   {
@@ -340,8 +340,8 @@
 
   if (si_faults_is_on (&engine->faults, SI_FAULT_HANG))
     return;
-  send_keep_alives (&engine->running, now);
-  send_keep_alives (&engine->waiting, now);
+  send_due_keep_alives (&engine->running, now);
+  send_due_keep_alives (&engine->waiting, now);
 }
 
 void
@@ -399,7 +399,7 @@
 }
 
 static void
-apply_resume_offset (Completion *completion, struct json_object *body)
+resume_completion_from_offset (Completion *completion, struct json_object *body)
 {
   struct json_object *resume;
 
@@ -416,7 +416,7 @@
 
 /* Skips prefill if the request's KV cache was imported from another engine. */
 static void
-apply_imported_kv_cache (Completion *completion)
+skip_prefill_if_kv_cache_imported (Completion *completion)
 {
   SiImport *import = NULL;
 
@@ -431,7 +431,7 @@
 }
 
 static void
-apply_break_and_hang_faults (Completion *completion)
+set_break_and_hang_faults (Completion *completion)
 {
   SiFaults *faults = &completion->engine->faults;
 
@@ -473,9 +473,9 @@
   completion->last_sent = lb_clock_monotonic ();
   si_text_init_from_body (&completion->text, body, engine->settings.vary_length);
   completion->prefill_bytes = cache_prompt_and_count_uncached_bytes (engine, body, prompt);
-  apply_resume_offset (completion, body);
-  apply_imported_kv_cache (completion);
-  apply_break_and_hang_faults (completion);
+  resume_completion_from_offset (completion, body);
+  skip_prefill_if_kv_cache_imported (completion);
+  set_break_and_hang_faults (completion);
   si_run_log_count_execution (&engine->log, si_json_get_text (body, "key", prompt));
   free (prompt);
   return completion;
--- a/standins/si-platform.c
+++ b/standins/si-platform.c
@@ -181,7 +181,7 @@
 }
 
 static void
-handle_get_weights (SiPlatform *platform, struct evhttp_request *request)
+handle_get_weight_version (SiPlatform *platform, struct evhttp_request *request)
 {
   char *pool = si_request_copy_query_value (request, "pool");
   int64_t version = pool ? lp_store_get_weight_version (platform->store, pool) : 0;
@@ -217,7 +217,7 @@
 }
 
 static void
-schedule_instance_list (SiPlatform *platform, struct json_object *list)
+schedule_instance_list_change (SiPlatform *platform, struct json_object *list)
 {
   json_object_put (platform->pending_instances);
   platform->pending_instances = json_object_get (list);
@@ -249,7 +249,7 @@
   platform->max_calls_per_second
       = si_json_get_real (settings, "rate", platform->max_calls_per_second);
   if (json_object_object_get_ex (settings, "instances", &value))
-    schedule_instance_list (platform, value);
+    schedule_instance_list_change (platform, value);
   if (json_object_object_get_ex (settings, "weights", &value))
     set_weight_version (platform, value);
   si_reply_json (request, 200, json_object_new_object ());
@@ -282,7 +282,7 @@
   else if (si_request_has_method_and_path (request, EVHTTP_REQ_GET, "/instances"))
     handle_get_instances (platform, request);
   else if (si_request_has_method_and_path (request, EVHTTP_REQ_GET, "/weights"))
-    handle_get_weights (platform, request);
+    handle_get_weight_version (platform, request);
   else if (strncmp (path, objects_path, sizeof objects_path - 1) == 0)
     route_object_request (platform, request, path + sizeof objects_path - 1);
   else
--- a/standins/si-row-store.c
+++ b/standins/si-row-store.c
@@ -134,7 +134,7 @@
 }
 
 static struct json_object *
-new_versioned_reply (const SiRowStore *store)
+new_reply_with_store_version (const SiRowStore *store)
 {
   struct json_object *object = json_object_new_object ();
 
@@ -157,7 +157,7 @@
 /* Returns whether each row listed in `expected` has the version stated there; version 0 means that
  * the row must not exist. */
 static bool
-have_expected_versions (const SiRowStore *store, struct json_object *expected)
+have_rows_expected_versions (const SiRowStore *store, struct json_object *expected)
 {
   for (size_t i = 0; expected && i < json_object_array_length (expected); i++)
     {
@@ -173,7 +173,7 @@
 }
 
 static void
-apply_row_changes (SiRowStore *store, struct json_object *entries, bool is_removal)
+put_or_remove_rows (SiRowStore *store, struct json_object *entries, bool is_removal)
 {
   for (size_t i = 0; entries && i < json_object_array_length (entries); i++)
     {
@@ -190,7 +190,9 @@
 /* Adds the current versions and values of the rows in `expected` to the reply, so that the caller
  * can retry. */
 static void
-add_current_rows (const SiRowStore *store, struct json_object *reply, struct json_object *expected)
+add_current_rows_to_reply (const SiRowStore *store,
+                           struct json_object *reply,
+                           struct json_object *expected)
 {
   struct json_object *array = json_object_new_array ();
 
@@ -229,7 +231,7 @@
 {
   struct json_object *body = si_request_parse_body (request);
   struct json_object *expected = get_json_array (body, "expected");
-  bool is_committed = have_expected_versions (store, expected);
+  bool is_committed = have_rows_expected_versions (store, expected);
 
   if (has_oversized_value (get_json_array (body, "writes")))
     {
@@ -241,8 +243,8 @@
     {
       store->version++;
       store->writes++;
-      apply_row_changes (store, get_json_array (body, "writes"), false);
-      apply_row_changes (store, get_json_array (body, "remove"), true);
+      put_or_remove_rows (store, get_json_array (body, "writes"), false);
+      put_or_remove_rows (store, get_json_array (body, "remove"), true);
     }
   if (is_committed && store->lost_replies > 0
       && contains_row_of_table (get_json_array (body, "writes"), "head"))
@@ -255,18 +257,18 @@
     si_request_close_connection (request);
   else
     {
-      struct json_object *reply = new_versioned_reply (store);
+      struct json_object *reply = new_reply_with_store_version (store);
       if (!is_committed)
-        add_current_rows (store, reply, expected);
+        add_current_rows_to_reply (store, reply, expected);
       si_reply_json (request, is_committed ? 200 : 412, reply);
     }
   json_object_put (body);
 }
 
-/* --- lists and watches --- */
+/* --- list and watch requests --- */
 
 static char *
-get_query_or_empty (struct evhttp_request *request, const char *key)
+get_query_value_or_empty (struct evhttp_request *request, const char *key)
 {
   char *value = si_request_copy_query_value (request, key);
 
@@ -276,9 +278,9 @@
 /* Returns whether the request is for silent_table, whose requests get no reply while other tables
  * are served. */
 static bool
-is_for_silent_table (const SiRowStore *store, struct evhttp_request *request)
+is_request_for_silent_table (const SiRowStore *store, struct evhttp_request *request)
 {
-  char *table = get_query_or_empty (request, "table");
+  char *table = get_query_value_or_empty (request, "table");
   bool silent = store->silent_table && strcmp (table, store->silent_table) == 0;
 
   free (table);
@@ -288,14 +290,14 @@
 static void
 handle_list_rows (SiRowStore *store, struct evhttp_request *request)
 {
-  char *table = get_query_or_empty (request, "table");
-  char *partition = get_query_or_empty (request, "part");
-  char *from = get_query_or_empty (request, "from");
-  char *to = get_query_or_empty (request, "to");
-  char *limit_text = get_query_or_empty (request, "limit");
+  char *table = get_query_value_or_empty (request, "table");
+  char *partition = get_query_value_or_empty (request, "part");
+  char *from = get_query_value_or_empty (request, "from");
+  char *to = get_query_value_or_empty (request, "to");
+  char *limit_text = get_query_value_or_empty (request, "limit");
   size_t limit = limit_text[0] ? (size_t)atoi (limit_text) : DEFAULT_LIST_LIMIT;
   struct json_object *array = json_object_new_array ();
-  struct json_object *reply = new_versioned_reply (store);
+  struct json_object *reply = new_reply_with_store_version (store);
   bool is_unavailable = store->unavailable_table && strcmp (table, store->unavailable_table) == 0;
   bool has_more = false;
 
@@ -361,7 +363,7 @@
 static void
 send_watch_reply (Watch *watch, struct json_object *array)
 {
-  struct json_object *reply = new_versioned_reply (watch->store);
+  struct json_object *reply = new_reply_with_store_version (watch->store);
 
   evhttp_connection_set_closecb (evhttp_request_get_connection (watch->request), NULL, NULL);
   json_object_object_add (reply, "rows", array);
@@ -392,16 +394,16 @@
 }
 
 static void
-handle_watch (SiRowStore *store, struct evhttp_request *request, bool is_delayed)
+handle_watch_request (SiRowStore *store, struct evhttp_request *request, bool is_delayed)
 {
-  char *after = get_query_or_empty (request, "after");
-  char *wait = get_query_or_empty (request, "waitMs");
+  char *after = get_query_value_or_empty (request, "after");
+  char *wait = get_query_value_or_empty (request, "waitMs");
   Watch *watch = LB_NEW (Watch);
 
   watch->store = store;
   watch->request = request;
   watch->is_delayed = is_delayed;
-  watch->table = get_query_or_empty (request, "table");
+  watch->table = get_query_value_or_empty (request, "table");
   watch->after = atoll (after);
   watch->deadline = lb_clock_monotonic () + atoll (wait) * LB_MSEC;
   lb_list_append (&store->watches, &watch->link);
@@ -410,7 +412,7 @@
     {
       evhttp_connection_set_closecb (evhttp_request_get_connection (request), NULL, NULL);
       on_watch_closed (NULL, watch);
-      si_reply_json (request, 410, new_versioned_reply (store));
+      si_reply_json (request, 410, new_reply_with_store_version (store));
     }
   free (wait);
   free (after);
@@ -453,7 +455,7 @@
   free (object->bytes);
   object->bytes = si_request_copy_body (request);
   object->length = evbuffer_get_length (input);
-  si_reply_json (request, 200, new_versioned_reply (store));
+  si_reply_json (request, 200, new_reply_with_store_version (store));
 }
 
 static void
@@ -481,10 +483,10 @@
       return;
     }
   object_free (store, object);
-  si_reply_json (request, 200, new_versioned_reply (store));
+  si_reply_json (request, 200, new_reply_with_store_version (store));
 }
 
-/* --- routing, setup and direct access --- */
+/* --- request routing, setup, and access without HTTP --- */
 
 static bool
 strip_path_prefix (const char *path, const char *prefix, const char **rest)
@@ -501,7 +503,7 @@
   const char *path = si_request_get_path (request);
   const char *name = NULL;
 
-  if (store->mode == SI_ROW_STORE_SILENT || is_for_silent_table (store, request))
+  if (store->mode == SI_ROW_STORE_SILENT || is_request_for_silent_table (store, request))
     return;
   if (store->mode == SI_ROW_STORE_UNAVAILABLE)
     {
@@ -513,7 +515,7 @@
   else if (strcmp (path, "/-/rows-get") == 0)
     handle_list_rows (store, request);
   else if (strcmp (path, "/-/rows-feed") == 0)
-    handle_watch (store, request, is_delayed);
+    handle_watch_request (store, request, is_delayed);
   else if (strip_path_prefix (path, "/-/blob-put/", &name))
     handle_put_object (store, request, name);
   else if (strip_path_prefix (path, "/-/blob-get/", &name))
@@ -541,7 +543,7 @@
 }
 
 static void
-init_store_state (SiRowStore *store)
+init_row_store_state (SiRowStore *store)
 {
   const struct timeval period = { .tv_usec = WATCH_CHECK_INTERVAL };
 
@@ -560,7 +562,7 @@
   if (!si_server_init (&store->server, base, port, on_first_server_request, store)
       || !si_server_init (&store->second_server, base, 0, on_second_server_request, store))
     return false;
-  init_store_state (store);
+  init_row_store_state (store);
   return true;
 }
 
--- a/standins/si-server.c
+++ b/standins/si-server.c
@@ -40,7 +40,7 @@
 }
 
 static void
-store_bound_address (SiServer *server, struct evhttp_bound_socket *socket)
+record_bound_server_address (SiServer *server, struct evhttp_bound_socket *socket)
 {
   struct sockaddr_in bound = { 0 };
   socklen_t length = sizeof bound;
@@ -83,7 +83,7 @@
       fprintf (stderr, "can't bind 127.0.0.1:%d\n", port);
       return false;
     }
-  store_bound_address (server, socket);
+  record_bound_server_address (server, socket);
   return true;
 }
 
--- a/standins/si-tally.c
+++ b/standins/si-tally.c
@@ -39,7 +39,7 @@
 }
 
 static void
-count_error (SiTally *tally, const char *type)
+count_error_type (SiTally *tally, const char *type)
 {
   SiErrorCount *error = NULL;
 
@@ -76,7 +76,7 @@
   if (result->outcome == SI_CALL_COMPLETE)
     add_call_times (tally, result);
   else
-    count_error (tally, result->error[0] != '\0' ? result->error : "none");
+    count_error_type (tally, result->error[0] != '\0' ? result->error : "none");
   if (result->outcome == SI_CALL_NOT_RUN
       && json_object_array_length (tally->not_run_keys) < MAX_NOT_RUN_KEYS)
     json_object_array_add (tally->not_run_keys, json_object_new_string (key));
--- a/standins/standin-load.c
+++ b/standins/standin-load.c
@@ -57,7 +57,7 @@
 static void start_due_calls (LoadTest *test);
 
 static void
-finish_call (Call *call, const SiCheckedCallResult *result)
+finish_checked_call (Call *call, const SiCheckedCallResult *result)
 {
   LoadTest *test = call->test;
 
@@ -68,14 +68,14 @@
   start_due_calls (test);
 }
 
-static void send_call_attempt (Call *call);
+static void send_checked_call_attempt (Call *call);
 
 static void
-on_retry_due (evutil_socket_t fd, short what, void *user)
+on_call_retry_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
-  send_call_attempt (user);
+  send_checked_call_attempt (user);
 }
 
 /* Retries a call only if it certainly did not run. The retry waits for retry_after and goes to the
@@ -88,18 +88,18 @@
 
   if (result->outcome != SI_CALL_NOT_RUN || call->attempts > test->settings.max_retries)
     {
-      finish_call (call, result);
+      finish_checked_call (call, result);
       return;
     }
   LbTime wait = result->retry_after > RETRY_DELAY ? result->retry_after : RETRY_DELAY;
   const struct timeval at = lb_time_to_timeval (wait);
   test->tally.retries++;
   call->address_index++;
-  event_base_once (test->base, -1, EV_TIMEOUT, on_retry_due, call, &at);
+  event_base_once (test->base, -1, EV_TIMEOUT, on_call_retry_due, call, &at);
 }
 
 static void
-send_call_attempt (Call *call)
+send_checked_call_attempt (Call *call)
 {
   LoadTest *test = call->test;
   SiCheckedCallSpec spec = test->settings.spec;
@@ -128,7 +128,7 @@
   call->address_index = (size_t)test->n_started_calls;
   test->n_started_calls++;
   test->n_running_calls++;
-  send_call_attempt (call);
+  send_checked_call_attempt (call);
 }
 
 static bool
