--- a/packages/base/tests/test-base.c
+++ b/packages/base/tests/test-base.c
@@ -42,7 +42,7 @@
 };
 
 static LbError
-parse_settings (const char *text, Settings *settings)
+parse_test_settings (const char *text, Settings *settings)
 {
   LbError error = { .code = LB_OK };
   struct json_object *object = lb_settings_parse (text, strlen (text), "s.json", &error);
@@ -58,7 +58,8 @@
 {
   Settings settings;
   LbError error
-      = parse_settings ("{ /* where */ \"server\": { \"name\": \"a\", \"port\": 80 } }", &settings);
+      = parse_test_settings ("{ /* where */ \"server\": { \"name\": \"a\", \"port\": 80 } }",
+                             &settings);
 
   cr_assert_eq (error.code, LB_OK);
   cr_assert_eq (settings.server.port, 80);
@@ -67,25 +68,25 @@
 Test (settings, errors_have_file_and_key_path)
 {
   Settings settings;
-  LbError error = parse_settings ("{\"server\": {\"port\": 70000}}", &settings);
+  LbError error = parse_test_settings ("{\"server\": {\"port\": 70000}}", &settings);
 
   cr_assert_eq (error.code, LB_ERROR_OUT_OF_RANGE);
   cr_assert_str_eq (error.where, "s.json: server.port");
-  error = parse_settings ("{\"server\": {\"prot\": 1}}", &settings);
+  error = parse_test_settings ("{\"server\": {\"prot\": 1}}", &settings);
   cr_assert_eq (error.code, LB_ERROR_UNKNOWN_KEY);
   cr_assert_str_eq (error.where, "s.json: server.prot");
-  error = parse_settings ("{}", &settings);
+  error = parse_test_settings ("{}", &settings);
   cr_assert_eq (error.code, LB_ERROR_MISSING_KEY);
 }
 
 Test (settings, bad_json_is_reported_with_line_and_column)
 {
   Settings settings;
-  LbError error = parse_settings ("{\n  \"server\": }", &settings);
+  LbError error = parse_test_settings ("{\n  \"server\": }", &settings);
 
   cr_assert_eq (error.code, LB_ERROR_BAD_JSON);
   cr_assert_str_eq (error.where, "s.json:2:13");
-  cr_assert_eq (parse_settings ("{\"server\": {", &settings).code, LB_ERROR_BAD_JSON);
+  cr_assert_eq (parse_test_settings ("{\"server\": {", &settings).code, LB_ERROR_BAD_JSON);
 }
 
 Test (error, every_type_has_a_unique_name)
--- a/packages/base/tests/test-log.c
+++ b/packages/base/tests/test-log.c
@@ -26,7 +26,7 @@
 }
 
 static int
-count_in_log_output (const char *needle)
+count_occurrences_in_log_output (const char *needle)
 {
   int count = 0;
 
@@ -66,16 +66,16 @@
   for (int i = 0; i < 40; i++)
     {
       lb_log_flush ();
-      if (read_log_output (pipe_ends[0]) > 0 && count_in_log_output ("\"failure\"") > 0)
+      if (read_log_output (pipe_ends[0]) > 0 && count_occurrences_in_log_output ("\"failure\"") > 0)
         break;
     }
-  cr_assert_eq (count_in_log_output ("\"failure\""), 1,
+  cr_assert_eq (count_occurrences_in_log_output ("\"failure\""), 1,
                 "the error line was dropped in spite of its reserved space");
   cr_assert_eq (log_output[strlen (log_output) - 1], '\n');
   for (int i = 0; i < 40; i++)
     lb_log_flush ();
   read_log_output (pipe_ends[0]);
-  cr_assert_geq (count_in_log_output ("log_lines_dropped"), 0);
+  cr_assert_geq (count_occurrences_in_log_output ("log_lines_dropped"), 0);
 }
 
 /* Refused requests log ten thousand similar lines per second. They must be rate-limited, so that
@@ -94,11 +94,11 @@
     }
   cr_assert_gt (lb_log_count_dropped_lines (), 0);
   read_log_output (pipe_ends[0]);
-  cr_assert_gt (count_in_log_output ("\"refused\""), 100);
+  cr_assert_gt (count_occurrences_in_log_output ("\"refused\""), 100);
   lb_log (LB_LOG_WARNING, "belief", LB_TEXT ("of", "engine"));
   lb_log_flush ();
   read_log_output (pipe_ends[0]);
-  cr_assert_eq (count_in_log_output ("\"belief\""), 1);
+  cr_assert_eq (count_occurrences_in_log_output ("\"belief\""), 1);
 }
 
 /* A log line must report the number of dropped lines once the reader reads again. */
@@ -115,7 +115,7 @@
     {
       lb_log_flush ();
       read_log_output (pipe_ends[0]);
-      if (count_in_log_output ("log_lines_dropped") > 0)
+      if (count_occurrences_in_log_output ("log_lines_dropped") > 0)
         return;
     }
   cr_assert_fail ("log_lines_dropped was not logged");
