--- a/packages/store/include/lp-platform.h
+++ b/packages/store/include/lp-platform.h
@@ -107,7 +107,7 @@
                     void *user);
   void (*get) (LpPlatform *platform, const char *key, LpRowsDone done, void *user);
   /* Reads all rows whose keys start with the prefix. scan, list_instances and get_weights are NULL
-   * on a shared platform, where instances call list instead. */
+   * on a shared platform, whose rows are read by list and watch. */
   void (*scan) (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user);
   void (*put_object) (LpPlatform *platform,
                       const char *key,
--- a/packages/store/src/lp-breaker.h
+++ b/packages/store/src/lp-breaker.h
@@ -10,7 +10,7 @@
 {
   int failures;         /* number of consecutive failed calls */
   bool is_probing;      /* a probe call was allowed and has no outcome yet */
-  LbTime open_duration; /* time to stay open, before jitter; 0: the breaker is closed */
+  LbTime open_duration; /* how long the breaker stays open, without jitter; 0: it is closed */
   LbTime open_until;    /* time from which a probe is allowed */
 } LpBreaker;
 
--- a/packages/store/src/lp-client.c
+++ b/packages/store/src/lp-client.c
@@ -371,7 +371,7 @@
 }
 
 static void
-cancel_calls (LbList *list)
+cancel_calls_in_list (LbList *list)
 {
   LB_LIST_FOREACH (list, Call, link, call)
   {
@@ -387,9 +387,9 @@
 lp_client_free (LpClient *client)
 {
   for (size_t i = 0; i < N_PRIORITIES; i++)
-    cancel_calls (&client->waiting[i]);
-  cancel_calls (&client->in_flight);
-  cancel_calls (&client->backing_off);
+    cancel_calls_in_list (&client->waiting[i]);
+  cancel_calls_in_list (&client->in_flight);
+  cancel_calls_in_list (&client->backing_off);
   event_free (client->send_event);
   lh_pool_free (client->pool);
   gsl_rng_free (client->rng);
--- a/packages/store/src/lp-client.h
+++ b/packages/store/src/lp-client.h
@@ -16,7 +16,7 @@
   LpPriority priority;
   /* The call changes data. It must be idempotent: it has a token, or a repeat has no effect. */
   bool is_write;
-  void (*free_user) (void *user); /* frees the callback's user data if the client is freed first */
+  void (*free_user) (void *user); /* frees user if the client is freed before the call ends */
 } LpClientCall;
 
 /* error LB_OK: the response's status is below 500. STORE_AWAY: no answer, and not applied.
--- a/packages/store/src/lp-http.c
+++ b/packages/store/src/lp-http.c
@@ -486,7 +486,7 @@
 }
 
 static void
-on_instances_answer (LbErrorCode error, int status, const char *body, size_t length, void *user)
+on_instance_list_answer (LbErrorCode error, int status, const char *body, size_t length, void *user)
 {
   InstancesCall *call = user;
   struct json_object *reply
@@ -517,7 +517,7 @@
   InstancesCall *call = LB_NEW (InstancesCall);
 
   *call = (InstancesCall){ .done = done, .user = user };
-  start_get_request (platform, "/instances", on_instances_answer, free, call);
+  start_get_request (platform, "/instances", on_instance_list_answer, free, call);
 }
 
 /* --- calls that read a weight version --- */
--- a/packages/store/src/lp-store.c
+++ b/packages/store/src/lp-store.c
@@ -183,7 +183,7 @@
 }
 
 static void
-apply_put (LpStore *store, const LpPut *put)
+put_or_delete_row_entry (LpStore *store, const LpPut *put)
 {
   if (!put->value)
     {
@@ -243,7 +243,7 @@
                                     LB_ERROR_CONDITION_FAILED, current_version);
   store->last_version++;
   for (size_t i = 0; i < transaction->n_puts; i++)
-    apply_put (store, &transaction->puts[i]);
+    put_or_delete_row_entry (store, &transaction->puts[i]);
   return keep_transaction_answer (store, transaction->token,
                                   transaction->n_puts ? transaction->puts[0].key : "", LB_OK,
                                   store->last_version);
--- a/packages/store/tests/test-store.c
+++ b/packages/store/tests/test-store.c
@@ -101,7 +101,7 @@
 } CallResult;
 
 static void
-record_rows_result (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+copy_rows_to_call_result (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   CallResult *result = user;
 
@@ -112,7 +112,7 @@
 }
 
 static void
-record_transact_result (LbErrorCode error, const LpRow *row, void *user)
+copy_transact_answer_to_call_result (LbErrorCode error, const LpRow *row, void *user)
 {
   CallResult *result = user;
 
@@ -131,10 +131,10 @@
   CallResult read = { 0 };
   CallResult absent = { 0 };
 
-  platform->klass->transact (platform, &transaction, LP_PRIORITY_CONFIG, record_transact_result,
-                             &written);
-  platform->klass->get (platform, "k", record_rows_result, &read);
-  platform->klass->get (platform, "none", record_rows_result, &absent);
+  platform->klass->transact (platform, &transaction, LP_PRIORITY_CONFIG,
+                             copy_transact_answer_to_call_result, &written);
+  platform->klass->get (platform, "k", copy_rows_to_call_result, &read);
+  platform->klass->get (platform, "none", copy_rows_to_call_result, &absent);
   cr_assert_eq (written.n_callbacks + read.n_callbacks + absent.n_callbacks, 0);
   event_base_loop (base, EVLOOP_NONBLOCK);
   cr_assert_eq (written.n_callbacks, 1);
