--- a/packages/http/src/lh-pool.h
+++ b/packages/http/src/lh-pool.h
@@ -13,7 +13,7 @@
   LbName address;
   bool is_idle; /* true while in LhPool.idle_connections */
   LbTime idle_since;
-  LbTime max_idle_time; /* an idle connection is closed, not reused, after this time */
+  LbTime max_idle_time; /* longest time that the connection may be idle before it is closed */
 } LhConnection;
 
 struct LhPool
--- a/packages/http/tests/test-fetch.c
+++ b/packages/http/tests/test-fetch.c
@@ -36,10 +36,10 @@
   char header[64];
   LhFetch *cancel_at_chunk; /* fetch to cancel from the body chunk handler; NULL: none */
   int n_chunks;
-} Fixture;
+} FetchFixture;
 
 static void
-fixture_init (Fixture *f)
+fetch_fixture_init (FetchFixture *f)
 {
   struct sockaddr_in at = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
   socklen_t length = sizeof at;
@@ -56,7 +56,7 @@
 }
 
 static void
-fixture_clear (Fixture *f)
+fetch_fixture_clear (FetchFixture *f)
 {
   lh_pool_free (f->pool);
   event_base_free (f->base);
@@ -64,7 +64,7 @@
 }
 
 static void
-run_event_loop_once (Fixture *f)
+run_event_loop_once (FetchFixture *f)
 {
   event_base_loop (f->base, EVLOOP_NONBLOCK);
   usleep (200);
@@ -82,9 +82,9 @@
   while (0)
 
 static void
-record_fetch_result (LhFetch *fetch, const LhResult *result, void *user)
+copy_fetch_result_to_fixture (LhFetch *fetch, const LhResult *result, void *user)
 {
-  Fixture *f = user;
+  FetchFixture *f = user;
   const char *header = lh_fetch_get_response_header (fetch, "x-kind");
 
   f->n_done++;
@@ -98,7 +98,7 @@
 static void
 append_body_chunk (LhFetch *fetch, const char *bytes, size_t length, void *user)
 {
-  Fixture *f = user;
+  FetchFixture *f = user;
 
   f->n_chunks++;
   strncat (f->body, bytes, length);
@@ -107,7 +107,8 @@
 }
 
 static LhFetch *
-start_fetch (Fixture *f, const char *method, const char *body, bool streams, LbTime idle_timeout)
+start_fetch (
+    FetchFixture *f, const char *method, const char *body, bool streams, LbTime idle_timeout)
 {
   const LhRequest request = { .method = method,
                               .address = f->address,
@@ -115,8 +116,8 @@
                               .body = body,
                               .body_length = strlen (body),
                               .idle_timeout = idle_timeout };
-  const LhHandlers handlers
-      = { .on_body_chunk = streams ? append_body_chunk : NULL, .on_done = record_fetch_result };
+  const LhHandlers handlers = { .on_body_chunk = streams ? append_body_chunk : NULL,
+                                .on_done = copy_fetch_result_to_fixture };
   LbError error = { 0 };
   LhFetch *fetch = lh_fetch_start (f->pool, &request, &handlers, f, &error);
 
@@ -126,7 +127,7 @@
 }
 
 static bool
-receive_bytes_and_search_request (Fixture *f, int fd, const char *needle)
+receive_bytes_and_search_request (FetchFixture *f, int fd, const char *needle)
 {
   ssize_t got = recv (fd, f->request + f->request_length, sizeof f->request - 1 - f->request_length,
                       MSG_DONTWAIT);
@@ -139,7 +140,7 @@
 }
 
 static int
-accept_connection_and_receive_text (Fixture *f, const char *needle)
+accept_connection_and_receive_text (FetchFixture *f, const char *needle)
 {
   int fd = -1;
 
@@ -158,9 +159,9 @@
 
 Test (fetch, response_has_status_headers_and_body)
 {
-  Fixture f;
+  FetchFixture f;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   start_fetch (&f, "DELETE", "bye", false, 0);
   int fd = accept_connection_and_receive_text (&f, "\r\n\r\nbye");
   cr_assert (strstr (f.request, "DELETE /p?q=1 HTTP/1.1"));
@@ -172,14 +173,14 @@
   cr_assert_str_eq (f.body, "none");
   cr_assert_str_eq (f.header, "short");
   close (fd);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 Test (fetch, idle_connection_is_reused_and_closed_on_demand)
 {
-  Fixture f;
+  FetchFixture f;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   start_fetch (&f, "GET", "", false, 0);
   int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
   send_text_to_client (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
@@ -193,16 +194,16 @@
   lh_pool_close_idle_connections (f.pool, f.address);
   RUN_LOOP_UNTIL (&f, (receive_bytes_and_search_request (&f, fd, NULL), f.is_closed));
   close (fd);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 /* An endpoint sends more than its response, for example a body after a HEAD request. The unread
  * bytes would be taken for the response to the next request and reach another caller. */
 Test (fetch, connection_with_unread_bytes_is_not_reused)
 {
-  Fixture f;
+  FetchFixture f;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   start_fetch (&f, "GET", "", false, 0);
   int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
   send_text_to_client (fd, "HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\none"
@@ -218,48 +219,48 @@
   cr_assert_str_eq (f.body, "two");
   close (fd);
   close (new_fd);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 /* No process listens on the address, so no byte of the request is sent. The result must
  * report that, since it proves that the request did not run. */
 Test (fetch, refused_connection_reports_no_byte_sent)
 {
-  Fixture f;
+  FetchFixture f;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   close (f.listener);
   start_fetch (&f, "POST", "x", false, 0);
   RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_neq (f.failure, LB_OK);
   cr_assert_not (f.bytes_handed);
   f.listener = -1;
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 /* The server reads the request and closes the connection without a response. The request may have
  * run, so the result must report that bytes were sent. */
 Test (fetch, close_after_the_request_reports_bytes_sent)
 {
-  Fixture f;
+  FetchFixture f;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   start_fetch (&f, "POST", "x", false, 0);
   int fd = accept_connection_and_receive_text (&f, "\r\n\r\nx");
   close (fd);
   RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_neq (f.failure, LB_OK);
   cr_assert (f.bytes_handed);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 /* The server closes the connection before the whole Content-Length has arrived. The partial body
  * must not be reported as a response. */
 Test (fetch, truncated_body_is_a_failure)
 {
-  Fixture f;
+  FetchFixture f;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   start_fetch (&f, "GET", "", false, 0);
   int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
   send_text_to_client (fd, "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\nhalf");
@@ -268,14 +269,14 @@
   close (fd);
   RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_neq (f.failure, LB_OK);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 Test (fetch, silent_stream_times_out)
 {
-  Fixture f;
+  FetchFixture f;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   start_fetch (&f, "GET", "", true, 50 * LB_MSEC);
   int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
   send_text_to_client (fd, "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\none\r\n");
@@ -284,16 +285,16 @@
   cr_assert_eq (f.n_done, 1);
   cr_assert_str_eq (f.body, "one");
   close (fd);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 /* The client cancels a streamed fetch from inside its chunk handler: no further handler may be
  * called, and the connection must be closed. */
 Test (fetch, cancel_inside_the_chunk_handler_ends_the_fetch)
 {
-  Fixture f;
+  FetchFixture f;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   f.cancel_at_chunk = start_fetch (&f, "GET", "", true, 0);
   int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
   send_text_to_client (
@@ -303,29 +304,29 @@
   cr_assert_eq (f.n_chunks, 1);
   cr_assert_eq (f.n_done, 0);
   close (fd);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 Test (fetch, cancel_before_connecting_calls_no_handler)
 {
-  Fixture f;
+  FetchFixture f;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   lh_fetch_cancel (start_fetch (&f, "GET", "", true, 0));
   for (int i = 0; i < 20; i++)
     run_event_loop_once (&f);
   cr_assert_eq (f.n_done, 0);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 /* All file descriptors are in use, so no socket can be opened. The failure must be reported from
  * the event loop: the caller has the fetch only after lh_fetch_start has returned. */
 Test (fetch, exhausted_descriptors_are_reported_from_the_event_loop)
 {
-  Fixture f;
+  FetchFixture f;
   struct rlimit limit, no_free_descriptors;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   getrlimit (RLIMIT_NOFILE, &limit);
   no_free_descriptors = limit;
   no_free_descriptors.rlim_cur = (rlim_t)dup (0);
@@ -338,19 +339,19 @@
   cr_assert_eq (f.n_done, 1);
   cr_assert_neq (f.failure, LB_OK);
   cr_assert_not (f.bytes_handed);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 /* A server computes a response for a minute without sending a byte, and its machine loses power.
  * Nothing closes the connection, so only TCP keep-alive detects the failure and must be enabled. */
 Test (fetch, sockets_have_a_timeout_for_dead_connections)
 {
-  Fixture f;
+  FetchFixture f;
   int max_unacked_ms = 0;
   int n_client_sockets = 0;
   socklen_t size = sizeof max_unacked_ms;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   start_fetch (&f, "GET", "", false, 0);
   int server = accept_connection_and_receive_text (&f, "\r\n\r\n");
   for (int fd = 3; fd < 64; fd++)
@@ -370,24 +371,24 @@
     }
   cr_assert_eq (n_client_sockets, 1);
   close (server);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 Test (fetch, malformed_requests_are_refused_as_bad_value)
 {
-  Fixture f;
+  FetchFixture f;
   LbError error = { 0 };
-  const LhHandlers handlers = { .on_done = record_fetch_result };
+  const LhHandlers handlers = { .on_done = copy_fetch_result_to_fixture };
   LhRequest request = { .method = "BREW", .address = "127.0.0.1:1", .path = "/" };
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   cr_assert_null (lh_fetch_start (f.pool, &request, &handlers, &f, &error));
   cr_assert_eq (error.code, LB_ERROR_BAD_VALUE);
   request.method = "GET";
   request.address = "nowhere";
   cr_assert_null (lh_fetch_start (f.pool, &request, &handlers, &f, &error));
   cr_assert_eq (error.code, LB_ERROR_BAD_VALUE);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 /* The 100 ms idle timeout of a request must not close its connection while the connection is idle
@@ -395,10 +396,10 @@
  * of low load. */
 Test (fetch, idle_connection_outlives_the_timeout_of_its_last_request)
 {
-  Fixture f;
+  FetchFixture f;
   LbTime wait_until = 0;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   start_fetch (&f, "GET", "", false, 100 * LB_MSEC);
   int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
   send_text_to_client (fd, "HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n");
@@ -413,7 +414,7 @@
   start_fetch (&f, "GET", "", false, 0);
   RUN_LOOP_UNTIL (&f, receive_bytes_and_search_request (&f, fd, "\r\n\r\n"));
   close (fd);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 /* An engine closes idle connections after the 1 s in its Keep-Alive header. A request sent at that
@@ -421,10 +422,10 @@
  * it. The connection must not be reused shortly before the timeout. */
 Test (fetch, idle_connection_is_not_reused_near_its_keep_alive_timeout)
 {
-  Fixture f;
+  FetchFixture f;
   LbTime wait_until = 0;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   start_fetch (&f, "GET", "", false, 0);
   int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
   send_text_to_client (
@@ -438,23 +439,23 @@
   int new_fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
   close (fd);
   close (new_fd);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 /* The Host header must be LhRequest.host if that is set, not the address. */
 Test (fetch, host_header_may_differ_from_the_address)
 {
-  Fixture f;
+  FetchFixture f;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   const LhRequest request
       = { .method = "GET", .address = f.address, .path = "/", .host = "shop.example" };
-  const LhHandlers handlers = { .on_done = record_fetch_result };
+  const LhHandlers handlers = { .on_done = copy_fetch_result_to_fixture };
   lh_fetch_start (f.pool, &request, &handlers, &f, NULL);
   int fd = accept_connection_and_receive_text (&f, "\r\n\r\n");
   cr_assert (strstr (f.request, "Host: shop.example\r\n"));
   close (fd);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
 
 /* A host that lost power doesn't answer SYN packets. A caller with a deadline of 2 s got no answer
@@ -462,13 +463,13 @@
  * no byte was sent, so that the request can go to another endpoint. */
 Test (fetch, unanswered_connect_ends_after_the_connect_timeout)
 {
-  Fixture f;
+  FetchFixture f;
   int queued_fds[64];
   int n = 0;
   struct sockaddr_in at = { .sin_family = AF_INET, .sin_addr.s_addr = htonl (INADDR_LOOPBACK) };
   socklen_t length = sizeof at;
 
-  fixture_init (&f);
+  fetch_fixture_init (&f);
   /* A listener with a full accept queue drops further SYN packets. */
   int full_listener = socket (AF_INET, SOCK_STREAM, 0);
   cr_assert_eq (bind (full_listener, (struct sockaddr *)&at, sizeof at), 0);
@@ -486,7 +487,7 @@
                               .path = "/",
                               .connect_timeout = 200 * LB_MSEC,
                               .idle_timeout = 60 * LB_SEC };
-  const LhHandlers handlers = { .on_done = record_fetch_result };
+  const LhHandlers handlers = { .on_done = copy_fetch_result_to_fixture };
   lh_fetch_start (f.pool, &request, &handlers, &f, NULL);
   RUN_LOOP_UNTIL (&f, f.n_done);
   cr_assert_eq (f.failure, LB_ERROR_TIMEOUT);
@@ -494,5 +495,5 @@
   while (n > 0)
     close (queued_fds[--n]);
   close (full_listener);
-  fixture_clear (&f);
+  fetch_fixture_clear (&f);
 }
