--- a/packages/cli/src/lt-command.c
+++ b/packages/cli/src/lt-command.c
@@ -23,7 +23,7 @@
 };
 
 static void
-print_usage (FILE *out)
+print_command_usage (FILE *out)
 {
   fputs ("Usage: lentilspindle COMMAND [OPTION...]\n\nCommands:\n", out);
   for (const LtCommand *command = commands; command->name; command++)
@@ -45,12 +45,12 @@
 {
   if (argc < 2)
     {
-      print_usage (stderr);
+      print_command_usage (stderr);
       return LT_EXIT_USAGE;
     }
   if (strcmp (argv[1], "--help") == 0)
     {
-      print_usage (stdout);
+      print_command_usage (stdout);
       return LT_EXIT_OK;
     }
   if (strcmp (argv[1], "--version") == 0)
--- a/packages/cli/src/lt-watch.c
+++ b/packages/cli/src/lt-watch.c
@@ -27,7 +27,7 @@
 }
 
 static void
-print_watch_report (struct json_object *body)
+print_revision_watch_report (struct json_object *body)
 {
   struct json_object *in_force = json_object_object_get (body, "in_force");
 
@@ -71,7 +71,7 @@
       else if (lt_arguments_wants_json (&options->common))
         lt_print_json (reply.body);
       else
-        print_watch_report (reply.body);
+        print_revision_watch_report (reply.body);
       after = keep_watching ? lt_json_get_integer (reply.body, "accepted") : after;
       keep_watching = keep_watching && options->once->count == 0;
       lt_reply_clear (&reply);
--- a/packages/cli/tests/test-story.c
+++ b/packages/cli/tests/test-story.c
@@ -17,7 +17,7 @@
 }
 
 static char *
-print_timeline (const char *id, const char *first_log, const char *second_log)
+print_timeline_to_string (const char *id, const char *first_log, const char *second_log)
 {
   char paths[2][64];
   char *text = NULL;
@@ -44,7 +44,7 @@
  * restart, uses the same number for another request. */
 Test (timeline, prints_a_request_and_earlier_state_changes)
 {
-  char *text = print_timeline (
+  char *text = print_timeline_to_string (
       "c1",
       "{\"time\":1000,\"instance\":\"a\",\"event\":\"started\"}\n"
       "{\"time\":9000,\"instance\":\"a\",\"event\":\"store_lost\",\"status\":503}\n"
@@ -74,7 +74,7 @@
 
 Test (timeline, finds_the_item_requests_of_a_batch)
 {
-  char *text = print_timeline (
+  char *text = print_timeline_to_string (
       "b1", "{\"time\":1,\"instance\":\"a\",\"event\":\"batch_accepted\",\"batch\":\"b1\"}\n",
       "{\"time\":2,\"instance\":\"b\",\"event\":\"route\",\"request\":3,\"id\":\"i9\","
       "\"caller\":\"b1\"}\n"
@@ -91,7 +91,7 @@
  * content. */
 Test (timeline, finds_all_requests_of_a_fingerprint)
 {
-  char *text = print_timeline (
+  char *text = print_timeline_to_string (
       "777f26cc65beacb0",
       "{\"time\":1,\"instance\":\"a\",\"event\":\"attempt_ended\",\"request\":3,\"id\":\"c1\","
       "\"content\":\"777f26cc65beacb0\",\"outcome\":\"broken\"}\n"
