--- a/standins/si-engine-run.c
+++ b/standins/si-engine-run.c
@@ -217,7 +217,7 @@
 /* Ends the process if the fault "crash" is on and all requests together have generated the fault's
  * number of tokens. */
 static void
-count_down_to_crash (SiEngine *engine)
+count_down_tokens_until_crash (SiEngine *engine)
 {
   SiFault *fault = &engine->faults.faults[SI_FAULT_CRASH];
 
@@ -230,7 +230,7 @@
 {
   SiEngine *engine = completion->engine;
 
-  count_down_to_crash (engine);
+  count_down_tokens_until_crash (engine);
   if (completion->is_hung)
     return;
   if (completion->break_after >= 0
@@ -264,7 +264,7 @@
 }
 
 static void
-admit_waiting_completions (SiEngine *engine)
+admit_waiting_completions_to_batch (SiEngine *engine)
 {
   while ((int64_t)engine->running.length < engine->settings.concurrency
          && !lb_list_is_empty (&engine->waiting))
@@ -280,7 +280,7 @@
 void
 si_engine_schedule_batch_step (SiEngine *engine)
 {
-  admit_waiting_completions (engine);
+  admit_waiting_completions_to_batch (engine);
   if (engine->is_step_scheduled || si_engine_is_loading_weights (engine)
       || lb_list_is_empty (&engine->running))
     return;
--- a/standins/si-tally.c
+++ b/standins/si-tally.c
@@ -89,7 +89,7 @@
 }
 
 static int
-compare_times (const void *a, const void *b)
+compare_call_times (const void *a, const void *b)
 {
   LbTime left = *(const LbTime *)a;
   LbTime right = *(const LbTime *)b;
@@ -107,7 +107,7 @@
   } percentiles[] = { { "p50", 0.5 }, { "p90", 0.9 }, { "p99", 0.99 }, { "max", 1 } };
   struct json_object *values = json_object_new_object ();
 
-  qsort (times, n, sizeof (LbTime), compare_times);
+  qsort (times, n, sizeof (LbTime), compare_call_times);
   for (size_t i = 0; n > 0 && i < sizeof percentiles / sizeof percentiles[0]; i++)
     {
       size_t index = (size_t)((double)(n - 1) * percentiles[i].fraction);
--- a/standins/standin-engine.c
+++ b/standins/standin-engine.c
@@ -59,7 +59,7 @@
 }
 
 static int
-run_engine (const Options *options)
+run_standin_engine (const Options *options)
 {
   static SiEngine engine;
   const SiEngineSettings settings = get_engine_settings (options);
@@ -102,7 +102,7 @@
   set_default_options (&options);
   if (si_arguments_parse (argc, argv, table, sizeof options / sizeof (void *), "standin-engine",
                           &exit_code))
-    exit_code = run_engine (&options);
+    exit_code = run_standin_engine (&options);
   arg_freetable (table, sizeof options / sizeof (void *));
   return exit_code;
 }
--- a/standins/standin-load.c
+++ b/standins/standin-load.c
@@ -54,7 +54,7 @@
   int64_t attempts;
 } Call;
 
-static void start_due_calls (LoadTest *test);
+static void start_due_load_test_calls (LoadTest *test);
 
 static void
 finish_checked_call (Call *call, const SiCheckedCallResult *result)
@@ -65,7 +65,7 @@
   test->n_running_calls--;
   free (call->prompt);
   free (call);
-  start_due_calls (test);
+  start_due_load_test_calls (test);
 }
 
 static void send_checked_call_attempt (Call *call);
@@ -81,7 +81,7 @@
 /* Retries a call only if it certainly did not run. The retry waits for retry_after and goes to the
  * next address. */
 static void
-on_call_result (const SiCheckedCallResult *result, void *user)
+on_checked_call_result (const SiCheckedCallResult *result, void *user)
 {
   Call *call = user;
   LoadTest *test = call->test;
@@ -112,11 +112,11 @@
   if (test->settings.sends_keys)
     spec.idempotency_key = call->prompt;
   call->attempts++;
-  si_checked_call_start (test->pool, &spec, on_call_result, call);
+  si_checked_call_start (test->pool, &spec, on_checked_call_result, call);
 }
 
 static void
-start_call (LoadTest *test)
+start_load_test_call (LoadTest *test)
 {
   Call *call = LB_NEW (Call);
 
@@ -150,13 +150,13 @@
 }
 
 static void
-start_due_calls (LoadTest *test)
+start_due_load_test_calls (LoadTest *test)
 {
   LbTime now = lb_clock_monotonic ();
 
   while (may_start_more_calls (test, now) && test->n_running_calls < test->settings.concurrency
          && get_next_call_start_time (test) <= now)
-    start_call (test);
+    start_load_test_call (test);
   if (!may_start_more_calls (test, now) && test->n_running_calls == 0)
     {
       event_base_loopbreak (test->base);
@@ -173,11 +173,11 @@
 {
   (void)fd;
   (void)what;
-  start_due_calls (user);
+  start_due_load_test_calls (user);
 }
 
 static void
-print_load_summary (LoadTest *test)
+print_load_test_summary (LoadTest *test)
 {
   struct json_object *summary = si_tally_to_json (&test->tally);
   double seconds = (double)(lb_clock_monotonic () - test->start_time) / (double)LB_SEC;
@@ -204,9 +204,9 @@
   test.start_timer = evtimer_new (test.base, on_next_call_due, &test);
   si_tally_init (&test.tally);
   test.start_time = lb_clock_monotonic ();
-  start_due_calls (&test);
+  start_due_load_test_calls (&test);
   event_base_dispatch (test.base);
-  print_load_summary (&test);
+  print_load_test_summary (&test);
   bool all_complete = test.tally.outcomes[SI_CALL_COMPLETE] == test.tally.n_calls;
   bool is_ok
       = si_tally_has_no_wrong_or_truncated_answers (&test.tally) && (all_complete || !expect_all);
--- a/standins/standin-platform.c
+++ b/standins/standin-platform.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 
 static int
-run_platform (int port, double calls_per_second, int lag_ms)
+run_standin_platform (int port, double calls_per_second, int lag_ms)
 {
   SiPlatform platform;
 
@@ -37,7 +37,7 @@
   lag->ival[0] = 0;
   if (si_arguments_parse (argc, argv, table, sizeof table / sizeof table[0], "standin-platform",
                           &exit_code))
-    exit_code = run_platform (port->ival[0], calls_per_second->dval[0], lag->ival[0]);
+    exit_code = run_standin_platform (port->ival[0], calls_per_second->dval[0], lag->ival[0]);
   arg_freetable (table, sizeof table / sizeof table[0]);
   return exit_code;
 }
--- a/standins/standin-service.c
+++ b/standins/standin-service.c
@@ -186,7 +186,8 @@
 }
 
 static int
-run_service (const char *name, const char *crash_on, int port, int latency_ms, int concurrency)
+run_standin_service (
+    const char *name, const char *crash_on, int port, int latency_ms, int concurrency)
 {
   Service service
       = { .call_latency = latency_ms * LB_MSEC, .concurrency = concurrency, .crash_on = crash_on };
@@ -224,8 +225,8 @@
   concurrency->ival[0] = 64;
   if (si_arguments_parse (argc, argv, table, sizeof table / sizeof table[0], "standin-service",
                           &exit_code))
-    exit_code = run_service (name->sval[0], crash_on->sval[0], port->ival[0], call_latency->ival[0],
-                             concurrency->ival[0]);
+    exit_code = run_standin_service (name->sval[0], crash_on->sval[0], port->ival[0],
+                                     call_latency->ival[0], concurrency->ival[0]);
   arg_freetable (table, sizeof table / sizeof table[0]);
   return exit_code;
 }
--- a/standins/standin-trainer.c
+++ b/standins/standin-trainer.c
@@ -428,7 +428,7 @@
 }
 
 static int
-run_trainer (const Settings *settings)
+run_standin_trainer (const Settings *settings)
 {
   Trainer trainer = { .settings = settings, .version = settings->first_version };
   LbTime start = lb_clock_monotonic ();
@@ -551,7 +551,7 @@
                           &exit_code))
     {
       const Settings settings = get_trainer_settings (&options);
-      exit_code = run_trainer (&settings);
+      exit_code = run_standin_trainer (&settings);
     }
   arg_freetable (table, sizeof options / sizeof (void *));
   return exit_code;
