--- a/packages/base/tests/test-json.c
+++ b/packages/base/tests/test-json.c
@@ -8,19 +8,19 @@
 static struct json_object *object;
 
 static void
-parse_test_object (void)
+parse_test_json_object (void)
 {
   object = json_tokener_parse ("{\"text\":\"abc\",\"int\":7,\"real\":1.5,\"bool\":true,"
                                "\"digits\":\"12\",\"null\":null,\"array\":[1],\"object\":{}}");
 }
 
 static void
-release_test_object (void)
+release_test_json_object (void)
 {
   json_object_put (object);
 }
 
-TestSuite (json, .init = parse_test_object, .fini = release_test_object);
+TestSuite (json, .init = parse_test_json_object, .fini = release_test_json_object);
 
 Test (json, members_of_the_right_type_are_returned)
 {
@@ -77,7 +77,8 @@
 
   cr_assert_eq (found, expected >= 0, "wrong result of the search for a duplicate key in %s", text);
   if (found)
-    cr_assert_eq ((long)offset, expected, "%s: duplicate found at offset %zu", text, offset);
+    cr_assert_eq ((long)offset, expected,
+                  "%s: expected the duplicate key at another offset than %zu", text, offset);
 }
 
 /* An operator duplicates a block of the settings file and changes the first copy. json-c silently
