--- a/packages/http/include/lh-sse.h
+++ b/packages/http/include/lh-sse.h
@@ -24,8 +24,7 @@
  * max_event_bytes. */
 bool lh_sse_parse_data_lines (
     LhSse *sse, const char *bytes, size_t length, LhSseHandler handler, void *user, LbError *error);
-/* Like lh_sse_parse_data_lines, but calls the handler for each complete line, whatever its field.
- */
+/* Like lh_sse_parse_data_lines, but calls the handler with each complete line of any field. */
 bool lh_sse_parse_lines (LhSse *sse,
                          const char *bytes,
                          size_t length,
--- a/packages/wire/src/lw-message.c
+++ b/packages/wire/src/lw-message.c
@@ -6,7 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Number of msgpack fields of an instance in full form, and in short form without the addresses. */
+/* Number of msgpack fields of an instance in full form, and in short form, whose only string is the
+ * instance's name. */
 #define N_FULL_FORM_INSTANCE_FIELDS 10
 #define N_SHORT_FORM_INSTANCE_FIELDS 6
 /* Largest number of instances in a frame. A single byte in a frame can claim to be an instance,
