--- a/standins/standin-trainer.c
+++ b/standins/standin-trainer.c
@@ -52,9 +52,9 @@
   int64_t reposts; /* steps posted again because the instance that owned them ended */
   int64_t staleness_sum;
   int64_t staleness_max;
-  int64_t tokens_by_version[MAX_COUNTED_VERSIONS]; /* number of tokens by weight version modulo
-                                                      MAX_COUNTED_VERSIONS */
-  LbTime idle_time;                                /* total time spent waiting for replies */
+  /* Number of tokens by weight version modulo MAX_COUNTED_VERSIONS. */
+  int64_t tokens_by_version[MAX_COUNTED_VERSIONS];
+  LbTime idle_time; /* total time spent waiting for replies */
   LbTime longest_step;
   LbTime total_time;
 } Tally;
