--- a/packages/cli/src/lt-command.c
+++ b/packages/cli/src/lt-command.c
@@ -23,7 +23,7 @@
 };
 
 static void
-print_usage (FILE *out)
+print_command_usage (FILE *out)
 {
   fputs ("Usage: lentilspindle COMMAND [OPTION...]\n\nCommands:\n", out);
   for (const LtCommand *command = commands; command->name; command++)
@@ -32,7 +32,7 @@
 }
 
 static const LtCommand *
-find_command (const char *name)
+find_subcommand (const char *name)
 {
   for (const LtCommand *command = commands; command->name; command++)
     if (strcmp (command->name, name) == 0)
@@ -45,12 +45,12 @@
 {
   if (argc < 2)
     {
-      print_usage (stderr);
+      print_command_usage (stderr);
       return LT_EXIT_USAGE;
     }
   if (strcmp (argv[1], "--help") == 0)
     {
-      print_usage (stdout);
+      print_command_usage (stdout);
       return LT_EXIT_OK;
     }
   if (strcmp (argv[1], "--version") == 0)
@@ -59,7 +59,7 @@
       return LT_EXIT_OK;
     }
 
-  const LtCommand *command = find_command (argv[1]);
+  const LtCommand *command = find_subcommand (argv[1]);
   if (!command)
     {
       fprintf (stderr, "lentilspindle: unknown command '%s'; see lentilspindle --help\n", argv[1]);
--- a/packages/store/include/lp-platform.h
+++ b/packages/store/include/lp-platform.h
@@ -92,7 +92,7 @@
 /* Receives the changed rows in order; a row whose value is NULL was deleted. LB_ERROR_NOT_FOUND:
  * the store no longer has all changes after the watched version, so the rows must be listed. */
 typedef LpListDone LpWatchDone;
-/* Receives the result of a call executed for a peer, see execute_peer_call. */
+/* Receives the result of a store call that this instance executed for a peer instance. */
 typedef void (*LpPeerCallDone) (
     LbErrorCode error, int status, const char *body, size_t length, void *user);
 
@@ -107,7 +107,7 @@
                     void *user);
   void (*get) (LpPlatform *platform, const char *key, LpRowsDone done, void *user);
   /* Reads all rows whose keys start with the prefix. scan, list_instances and get_weights are NULL
-   * on a shared platform, where instances call list instead. */
+   * on a shared platform, whose rows are read by list and watch. */
   void (*scan) (LpPlatform *platform, const char *prefix, LpRowsDone done, void *user);
   void (*put_object) (LpPlatform *platform,
                       const char *key,
--- a/standins/si-tally.c
+++ b/standins/si-tally.c
@@ -39,7 +39,7 @@
 }
 
 static void
-count_error (SiTally *tally, const char *type)
+count_error_type (SiTally *tally, const char *type)
 {
   SiErrorCount *error = NULL;
 
@@ -76,7 +76,7 @@
   if (result->outcome == SI_CALL_COMPLETE)
     add_call_times (tally, result);
   else
-    count_error (tally, result->error[0] != '\0' ? result->error : "none");
+    count_error_type (tally, result->error[0] != '\0' ? result->error : "none");
   if (result->outcome == SI_CALL_NOT_RUN
       && json_object_array_length (tally->not_run_keys) < MAX_NOT_RUN_KEYS)
     json_object_array_add (tally->not_run_keys, json_object_new_string (key));
@@ -89,7 +89,7 @@
 }
 
 static int
-compare_times (const void *a, const void *b)
+compare_call_times (const void *a, const void *b)
 {
   LbTime left = *(const LbTime *)a;
   LbTime right = *(const LbTime *)b;
@@ -107,7 +107,7 @@
   } percentiles[] = { { "p50", 0.5 }, { "p90", 0.9 }, { "p99", 0.99 }, { "max", 1 } };
   struct json_object *values = json_object_new_object ();
 
-  qsort (times, n, sizeof (LbTime), compare_times);
+  qsort (times, n, sizeof (LbTime), compare_call_times);
   for (size_t i = 0; n > 0 && i < sizeof percentiles / sizeof percentiles[0]; i++)
     {
       size_t index = (size_t)((double)(n - 1) * percentiles[i].fraction);
--- a/standins/standin-load.c
+++ b/standins/standin-load.c
@@ -54,10 +54,10 @@
   int64_t attempts;
 } Call;
 
-static void start_due_calls (LoadTest *test);
+static void start_due_load_test_calls (LoadTest *test);
 
 static void
-finish_call (Call *call, const SiCheckedCallResult *result)
+finish_checked_call (Call *call, const SiCheckedCallResult *result)
 {
   LoadTest *test = call->test;
 
@@ -65,41 +65,41 @@
   test->n_running_calls--;
   free (call->prompt);
   free (call);
-  start_due_calls (test);
+  start_due_load_test_calls (test);
 }
 
-static void send_call_attempt (Call *call);
+static void send_checked_call_attempt (Call *call);
 
 static void
-on_retry_due (evutil_socket_t fd, short what, void *user)
+on_call_retry_due (evutil_socket_t fd, short what, void *user)
 {
   (void)fd;
   (void)what;
-  send_call_attempt (user);
+  send_checked_call_attempt (user);
 }
 
 /* Retries a call only if it certainly did not run. The retry waits for retry_after and goes to the
  * next address. */
 static void
-on_call_result (const SiCheckedCallResult *result, void *user)
+on_checked_call_result (const SiCheckedCallResult *result, void *user)
 {
   Call *call = user;
   LoadTest *test = call->test;
 
   if (result->outcome != SI_CALL_NOT_RUN || call->attempts > test->settings.max_retries)
     {
-      finish_call (call, result);
+      finish_checked_call (call, result);
       return;
     }
   LbTime wait = result->retry_after > RETRY_DELAY ? result->retry_after : RETRY_DELAY;
   const struct timeval at = lb_time_to_timeval (wait);
   test->tally.retries++;
   call->address_index++;
-  event_base_once (test->base, -1, EV_TIMEOUT, on_retry_due, call, &at);
+  event_base_once (test->base, -1, EV_TIMEOUT, on_call_retry_due, call, &at);
 }
 
 static void
-send_call_attempt (Call *call)
+send_checked_call_attempt (Call *call)
 {
   LoadTest *test = call->test;
   SiCheckedCallSpec spec = test->settings.spec;
@@ -112,11 +112,11 @@
   if (test->settings.sends_keys)
     spec.idempotency_key = call->prompt;
   call->attempts++;
-  si_checked_call_start (test->pool, &spec, on_call_result, call);
+  si_checked_call_start (test->pool, &spec, on_checked_call_result, call);
 }
 
 static void
-start_call (LoadTest *test)
+start_load_test_call (LoadTest *test)
 {
   Call *call = LB_NEW (Call);
 
@@ -128,7 +128,7 @@
   call->address_index = (size_t)test->n_started_calls;
   test->n_started_calls++;
   test->n_running_calls++;
-  send_call_attempt (call);
+  send_checked_call_attempt (call);
 }
 
 static bool
@@ -150,13 +150,13 @@
 }
 
 static void
-start_due_calls (LoadTest *test)
+start_due_load_test_calls (LoadTest *test)
 {
   LbTime now = lb_clock_monotonic ();
 
   while (may_start_more_calls (test, now) && test->n_running_calls < test->settings.concurrency
          && get_next_call_start_time (test) <= now)
-    start_call (test);
+    start_load_test_call (test);
   if (!may_start_more_calls (test, now) && test->n_running_calls == 0)
     {
       event_base_loopbreak (test->base);
@@ -173,11 +173,11 @@
 {
   (void)fd;
   (void)what;
-  start_due_calls (user);
+  start_due_load_test_calls (user);
 }
 
 static void
-print_load_summary (LoadTest *test)
+print_load_test_summary (LoadTest *test)
 {
   struct json_object *summary = si_tally_to_json (&test->tally);
   double seconds = (double)(lb_clock_monotonic () - test->start_time) / (double)LB_SEC;
@@ -204,9 +204,9 @@
   test.start_timer = evtimer_new (test.base, on_next_call_due, &test);
   si_tally_init (&test.tally);
   test.start_time = lb_clock_monotonic ();
-  start_due_calls (&test);
+  start_due_load_test_calls (&test);
   event_base_dispatch (test.base);
-  print_load_summary (&test);
+  print_load_test_summary (&test);
   bool all_complete = test.tally.outcomes[SI_CALL_COMPLETE] == test.tally.n_calls;
   bool is_ok
       = si_tally_has_no_wrong_or_truncated_answers (&test.tally) && (all_complete || !expect_all);
