--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -420,7 +420,7 @@
 
   ln_stall_set_activity ("tick of config");
   lp_follow_start_call_if_due (task->operator_rows, now);
-  post_desired_confirmed (task);
+  post_desired_state_confirmation_time (task);
   ln_catalog_tick (task->catalog, lc_roster_count_endpoints (task->roster), now);
   notify_peers_task_of_catalog_following (task, now);
   bool is_listing = ln_endpoint_list_is_in_progress (task->endpoint_list);
