--- a/packages/cli/src/lt-bench.c
+++ b/packages/cli/src/lt-bench.c
@@ -48,7 +48,7 @@
   bool without_trainers = strcmp (policy, NO_TRAINERS_POLICY) == 0;
 
   lx_options_init (&options, bench->site, seed);
-  if (!lx_options_set_policy (&options, without_trainers ? "lentilspindle" : policy))
+  if (!lx_options_parse_policy (&options, without_trainers ? "lentilspindle" : policy))
     return false;
   if (without_trainers)
     options.n_trainers = 0;
--- a/packages/core/bench/bench-decision.c
+++ b/packages/core/bench/bench-decision.c
@@ -36,7 +36,7 @@
 {
   const int rounds = 20000;
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_taus2);
-  LcResourceSet set = bench_make_engine_set (n_endpoints);
+  LcResourceSet set = bench_make_engine_resource_set (n_endpoints);
   size_t used_bytes = mallinfo2 ().uordblks;
   LcEndpoints *endpoints = lc_endpoints_new ();
 
@@ -93,7 +93,7 @@
 {
   const int rounds = 200000;
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_taus2);
-  LcResourceSet set = bench_make_engine_set (n_endpoints);
+  LcResourceSet set = bench_make_engine_resource_set (n_endpoints);
   LcEndpoints *endpoints = lc_endpoints_new ();
   LbTime started_at = 0;
 
--- a/packages/core/bench/bench-engine.c
+++ b/packages/core/bench/bench-engine.c
@@ -30,7 +30,7 @@
 }
 
 void
-bench_engine_reset_totals (BenchEngine *engine)
+bench_engine_reset_statistics (BenchEngine *engine)
 {
   engine->tokens = 0;
   engine->occupancy = 0;
--- a/packages/core/bench/bench-engine.h
+++ b/packages/core/bench/bench-engine.h
@@ -44,8 +44,8 @@
   BenchCacheEvent events[ENGINE_MAX_CACHE_EVENTS];
   size_t n_events;
   double speed; /* factor on the speed of prefill and decoding; 1: normal speed */
-  /* Totals since the last bench_engine_reset_totals: decoded tokens of ended requests, running and
-   * waiting requests in request-seconds, prompt tokens, and how many of these were cached. */
+  /* Totals since the last bench_engine_reset_statistics: decoded tokens of ended requests, running
+   * and waiting requests in request-seconds, prompt tokens, and how many of these were cached. */
   double tokens;
   double occupancy;
   double prompt_tokens;
@@ -58,6 +58,6 @@
 /* Simulates the engine for the duration `step`. Moves the requests that end to the list `ended`. */
 void bench_engine_advance (BenchEngine *engine, LbTime now, LbTime step, LbList *ended);
 double bench_engine_tokens_per_second (const BenchEngine *engine);
-void bench_engine_reset_totals (BenchEngine *engine);
+void bench_engine_reset_statistics (BenchEngine *engine);
 
 #endif
--- a/packages/core/bench/bench-fleet.c
+++ b/packages/core/bench/bench-fleet.c
@@ -6,7 +6,7 @@
 #include <xxhash.h>
 
 LcResourceSet
-bench_make_engine_set (int n_engines)
+bench_make_engine_resource_set (int n_engines)
 {
   LcResourceSet set = { .endpoints = LB_NEW_ARRAY (LcEndpointMember, n_engines),
                         .n_endpoints = (size_t)n_engines };
--- a/packages/core/bench/bench-fleet.h
+++ b/packages/core/bench/bench-fleet.h
@@ -7,7 +7,7 @@
 
 /* Returns a resource set with engines named engine-0, engine-1, ... of the pool "reader", spread
  * over three data centres. The caller frees the set's array `endpoints`. */
-LcResourceSet bench_make_engine_set (int n_engines);
+LcResourceSet bench_make_engine_resource_set (int n_engines);
 uint64_t bench_hash_pair (uint64_t a, uint64_t b);
 
 #endif
--- a/packages/core/bench/bench-membership.c
+++ b/packages/core/bench/bench-membership.c
@@ -181,8 +181,9 @@
       fake_peers_start_instance (peers, i);
     }
   fake_peers_run_until (peers, fake_peers_now (peers) + 60 * LB_SEC);
-  if (fake_peers_count_converged (peers) != n_members)
-    printf ("only %zu of %zu instances agree\n", fake_peers_count_converged (peers), n_members);
+  if (fake_peers_count_converged_instances (peers) != n_members)
+    printf ("only %zu of %zu instances agree\n", fake_peers_count_converged_instances (peers),
+            n_members);
   return peers;
 }
 
@@ -272,7 +273,8 @@
           fake_peers_run_until (peers, started_at + second * LB_SEC);
           double rate = largest_bytes_per_second (peers, n_members, 1);
           largest[phase] = rate > largest[phase] ? rate : largest[phase];
-          if (phase == 1 && !agreed_after && fake_peers_count_converged (peers) == n_members)
+          if (phase == 1 && !agreed_after
+              && fake_peers_count_converged_instances (peers) == n_members)
             agreed_after = fake_peers_now (peers) - started_at;
         }
       if (phase == 1)
--- a/packages/core/bench/bench-routing.c
+++ b/packages/core/bench/bench-routing.c
@@ -379,7 +379,7 @@
         {
           simulation->is_warmed_up = true;
           for (int i = 0; i < simulation->n_engines; i++)
-            bench_engine_reset_totals (&simulation->engines[i]);
+            bench_engine_reset_statistics (&simulation->engines[i]);
         }
       apply_due_deliveries (simulation);
       send_queued_requests (simulation);
@@ -397,7 +397,7 @@
 {
   int n_endpoints = options->endpoints;
   Simulation *simulation = LB_NEW (Simulation);
-  LcResourceSet set = bench_make_engine_set (n_endpoints);
+  LcResourceSet set = bench_make_engine_resource_set (n_endpoints);
   size_t n_prefixes = (size_t)n_endpoints * LIVE_PREFIXES_PER_ENDPOINT;
   double *popularity = LB_NEW_ARRAY (double, n_prefixes);
 
--- a/packages/core/bench/fake-peers.c
+++ b/packages/core/bench/fake-peers.c
@@ -331,7 +331,7 @@
 }
 
 void
-fake_peers_execute_actions (FakePeers *peers, size_t node, LbList *actions)
+fake_peers_execute_membership_actions (FakePeers *peers, size_t node, LbList *actions)
 {
   LbLink *link;
 
@@ -371,11 +371,11 @@
   add_traffic_bytes (peers, dialler, connection->nodes[1], CONNECT_HEADER_BYTES + 400);
   LcInstance self = *lc_membership_self (dialler_membership);
   connection->links[1] = lc_membership_link_accepted (acceptor, &self, peers->now, actions);
-  fake_peers_execute_actions (peers, peers->connections[index].nodes[1], actions);
+  fake_peers_execute_membership_actions (peers, peers->connections[index].nodes[1], actions);
   self = *lc_membership_self (acceptor);
   lc_membership_link_dialled (dialler_membership, peers->connections[index].links[0], &self,
                               peers->now, actions);
-  fake_peers_execute_actions (peers, dialler, actions);
+  fake_peers_execute_membership_actions (peers, dialler, actions);
 }
 
 static void
@@ -442,7 +442,7 @@
         deliver_message_event (peers, event, &actions);
         break;
       }
-  fake_peers_execute_actions (peers, event->node, &actions);
+  fake_peers_execute_membership_actions (peers, event->node, &actions);
   if (node->state == FAKE_RUNNING)
     schedule_next_tick (peers, event->node);
   free (event->message.instances);
@@ -528,7 +528,7 @@
 }
 
 void
-fake_peers_drop_on_open_links (FakePeers *peers, size_t a, size_t b)
+fake_peers_drop_messages_on_open_links (FakePeers *peers, size_t a, size_t b)
 {
   for (size_t i = 0; i < peers->n_connections; i++)
     {
@@ -611,7 +611,7 @@
 }
 
 size_t
-fake_peers_count_converged (const FakePeers *peers)
+fake_peers_count_converged_instances (const FakePeers *peers)
 {
   size_t agreeing = 0;
 
--- a/packages/core/bench/fake-peers.h
+++ b/packages/core/bench/fake-peers.h
@@ -26,11 +26,11 @@
 /* Assigns the instance to a group. Messages between instances of different groups are lost. */
 void fake_peers_set_partition_group (FakePeers *peers, size_t index, int partition_group);
 /* Drops all messages between two instances on the connections that are open now, and only there. */
-void fake_peers_drop_on_open_links (FakePeers *peers, size_t a, size_t b);
+void fake_peers_drop_messages_on_open_links (FakePeers *peers, size_t a, size_t b);
 /* Drops all messages between two instances, on open and on new connections. */
 void fake_peers_partition_pair (FakePeers *peers, size_t a, size_t b);
 /* Executes the actions that the membership of an instance has appended, and frees them. */
-void fake_peers_execute_actions (FakePeers *peers, size_t index, LbList *actions);
+void fake_peers_execute_membership_actions (FakePeers *peers, size_t index, LbList *actions);
 void fake_peers_run_until (FakePeers *peers, LbTime until);
 void fake_peers_reset_traffic_bytes (FakePeers *peers);
 
@@ -44,7 +44,7 @@
 /* Counts the other running instances that list the subject as available to callers. */
 size_t fake_peers_count_observers_listing (const FakePeers *peers, size_t subject);
 /* Counts the running instances that list all running instances and no others. */
-size_t fake_peers_count_converged (const FakePeers *peers);
+size_t fake_peers_count_converged_instances (const FakePeers *peers);
 /* Returns the bytes that a message takes on the network: the encoded frame with TCP and IP headers,
  * and a TCP acknowledgement unless a reply acknowledges the frame. */
 int64_t fake_peers_message_bytes (const LwMessage *message);
--- a/packages/core/tests/test-membership.c
+++ b/packages/core/tests/test-membership.c
@@ -16,7 +16,7 @@
   for (size_t i = 0; i < count; i++)
     fake_peers_start_instance (peers, i);
   fake_peers_run_until (peers, fake_peers_now (peers) + 20 * LB_SEC);
-  cr_assert_eq (fake_peers_count_converged (peers), count);
+  cr_assert_eq (fake_peers_count_converged_instances (peers), count);
   return peers;
 }
 
@@ -55,7 +55,7 @@
   cr_assert_eq (fake_peers_count_observers_listing (peers, 9), 0);
   run_peers_for (peers, 5 * LB_SEC);
   cr_assert_eq (fake_peers_observed_state (peers, 0, 9), LC_INSTANCE_DEAD);
-  cr_assert_eq (fake_peers_count_converged (peers), N_INSTANCES - 2);
+  cr_assert_eq (fake_peers_count_converged_instances (peers), N_INSTANCES - 2);
   fake_peers_free (peers);
 }
 
@@ -67,12 +67,12 @@
   FakePeers *peers = start_converged_cluster (N_INSTANCES);
 
   for (size_t i = 1; i < N_INSTANCES; i++)
-    fake_peers_drop_on_open_links (peers, 0, i);
+    fake_peers_drop_messages_on_open_links (peers, 0, i);
   run_peers_for (peers, 3 * LB_SEC);
   LcMembershipTotals totals = sum_membership_totals (peers, N_INSTANCES);
   cr_assert_geq (totals.connection_timeouts, 3);
   cr_assert_eq (totals.suspected, 0);
-  cr_assert_eq (fake_peers_count_converged (peers), N_INSTANCES);
+  cr_assert_eq (fake_peers_count_converged_instances (peers), N_INSTANCES);
   run_peers_for (peers, 60 * LB_SEC);
   totals = sum_membership_totals (peers, N_INSTANCES);
   run_peers_for (peers, 120 * LB_SEC);
@@ -99,7 +99,7 @@
     cr_assert (lc_membership_keep_connected (
         first, lc_membership_self (fake_peers_membership (peers, i))->name,
         fake_peers_now (peers) + 60 * LB_SEC, fake_peers_now (peers), &actions));
-  fake_peers_execute_actions (peers, 0, &actions);
+  fake_peers_execute_membership_actions (peers, 0, &actions);
   run_peers_for (peers, 5 * LB_SEC);
   fake_peers_reset_traffic_bytes (peers);
   run_peers_for (peers, 20 * LB_SEC);
@@ -127,14 +127,14 @@
         continue;
       lc_membership_keep_connected (first, name, fake_peers_now (peers) + 60 * LB_SEC,
                                     fake_peers_now (peers), &actions);
-      fake_peers_execute_actions (peers, 0, &actions);
+      fake_peers_execute_membership_actions (peers, 0, &actions);
       run_peers_for (peers, 10 * LB_SEC);
       LcLinkId silent = lc_membership_find_link (first, name);
       lc_membership_frame_sent (first, silent, fake_peers_now (peers));
       run_peers_for (peers, 5 * LB_SEC);
       cr_assert_eq (lc_membership_find_link (first, name), silent,
                     "a healthy connection was closed");
-      fake_peers_drop_on_open_links (peers, 0, i);
+      fake_peers_drop_messages_on_open_links (peers, 0, i);
       lc_membership_frame_sent (first, silent, fake_peers_now (peers));
       run_peers_for (peers, 3 * LB_SEC);
       cr_assert_neq (lc_membership_find_link (first, name), silent);
@@ -142,7 +142,7 @@
       break;
     }
   cr_assert_geq (lc_membership_totals (first).connection_timeouts, 1);
-  cr_assert_eq (fake_peers_count_converged (peers), N_INSTANCES);
+  cr_assert_eq (fake_peers_count_converged_instances (peers), N_INSTANCES);
   fake_peers_free (peers);
 }
 
@@ -162,7 +162,7 @@
     lc_membership_keep_connected (first,
                                   lc_membership_self (fake_peers_membership (peers, i))->name,
                                   until, fake_peers_now (peers), &actions);
-  fake_peers_execute_actions (peers, 0, &actions);
+  fake_peers_execute_membership_actions (peers, 0, &actions);
   run_peers_for (peers, 20 * LB_SEC);
   for (size_t i = 1; i < count - 1; i++)
     {
@@ -186,7 +186,7 @@
   cr_assert_eq (fake_peers_observed_state (peers, 0, 3), LC_INSTANCE_DEAD);
   fake_peers_set_instance_state (peers, 3, FAKE_RUNNING);
   run_peers_for (peers, 3 * LB_SEC);
-  cr_assert_eq (fake_peers_count_converged (peers), N_INSTANCES);
+  cr_assert_eq (fake_peers_count_converged_instances (peers), N_INSTANCES);
   LcMembershipTotals own = lc_membership_totals (fake_peers_membership (peers, 3));
   cr_assert_eq (own.own_pauses, 1);
   cr_assert_eq (own.suspected, 0);
@@ -212,7 +212,7 @@
   for (size_t i = 1; i < count; i++)
     fake_peers_set_partition_group (peers, i, 0);
   run_peers_for (peers, 10 * LB_SEC);
-  cr_assert_eq (fake_peers_count_converged (peers), count - 1);
+  cr_assert_eq (fake_peers_count_converged_instances (peers), count - 1);
   fake_peers_free (peers);
 }
 
@@ -236,7 +236,7 @@
   for (int second = 0; second < 120; second++)
     {
       run_peers_for (peers, LB_SEC);
-      n_disagreements += fake_peers_count_converged (peers) < N_INSTANCES - 2;
+      n_disagreements += fake_peers_count_converged_instances (peers) < N_INSTANCES - 2;
     }
   cr_assert_leq (n_disagreements, 1);
   cr_assert_leq (sum_membership_totals (peers, N_INSTANCES).suspected, 16);
@@ -254,7 +254,7 @@
   lb_list_init (&actions);
   lc_membership_mark_self_draining (fake_peers_membership (peers, 4), fake_peers_now (peers),
                                     &actions);
-  fake_peers_execute_actions (peers, 4, &actions);
+  fake_peers_execute_membership_actions (peers, 4, &actions);
   run_peers_for (peers, LB_SEC);
   cr_assert_eq (fake_peers_count_observers_listing (peers, 4), 0);
   cr_assert_eq (fake_peers_observed_state (peers, 0, 4), LC_INSTANCE_ALIVE);
@@ -275,7 +275,7 @@
   run_peers_for (peers, LB_SEC);
   fake_peers_start_instance (peers, 6);
   run_peers_for (peers, 5 * LB_SEC);
-  cr_assert_eq (fake_peers_count_converged (peers), N_INSTANCES);
+  cr_assert_eq (fake_peers_count_converged_instances (peers), N_INSTANCES);
 
   lb_list_init (&actions);
   before.instance.state = LC_INSTANCE_DEAD;
@@ -313,7 +313,7 @@
   cr_assert_eq (lc_membership_totals (first).name_conflicts, 1);
   run_peers_for (peers, 10 * LB_SEC);
   cr_assert_eq (lc_membership_totals (first).name_conflicts, 2);
-  cr_assert_eq (fake_peers_count_converged (peers), 6);
+  cr_assert_eq (fake_peers_count_converged_instances (peers), 6);
   fake_peers_free (peers);
 }
 
@@ -332,17 +332,17 @@
   for (size_t i = 1; i < 4; i++)
     fake_peers_start_instance (peers, i);
   run_peers_for (peers, 10 * LB_SEC);
-  cr_assert_eq (fake_peers_count_converged (peers), 0);
+  cr_assert_eq (fake_peers_count_converged_instances (peers), 0);
   for (size_t i = 1; i < 4; i++)
     lc_membership_apply_platform_list (fake_peers_membership (peers, i), listed, 3,
                                        fake_peers_now (peers), &actions);
   run_peers_for (peers, 10 * LB_SEC);
-  cr_assert_eq (fake_peers_count_converged (peers), 3);
+  cr_assert_eq (fake_peers_count_converged_instances (peers), 3);
 
   listed[1].leaving = true;
   lc_membership_apply_platform_list (fake_peers_membership (peers, 1), listed, 3,
                                      fake_peers_now (peers), &actions);
-  fake_peers_execute_actions (peers, 1, &actions);
+  fake_peers_execute_membership_actions (peers, 1, &actions);
   cr_assert_not (fake_peers_is_listed (peers, 1, 2));
   fake_peers_free (peers);
 }
--- a/packages/sim/include/lx-audit.h
+++ b/packages/sim/include/lx-audit.h
@@ -83,14 +83,14 @@
     LxAudit *audit, uint64_t stream, int64_t offset, int64_t tokens, LcVersion version, LbTime now);
 
 /* Returns the entry of LxAudit.steps at index `step`; adds missing entries. */
-LxStepTokens *lx_audit_ensure_step_tokens (LxAudit *audit, uint64_t step);
+LxStepTokens *lx_audit_get_or_add_step_tokens (LxAudit *audit, uint64_t step);
 
 /* --- functions that only read the audit --- */
 LxJob *lx_audit_get_job (LxAudit *audit, uint64_t job);
 int64_t lx_audit_count_violations (const LxAudit *audit);
 /* Computes the correct version label of a text from the engines' record. */
-void lx_audit_compute_label (const LxAudit *audit, const LxText *text, LcLabel *label);
+void lx_audit_compute_version_label (const LxAudit *audit, const LxText *text, LcLabel *label);
 /* Returns the share, 0..1, of the tokens generated for completed steps that no trainer received. */
-double lx_audit_compute_wasted_ratio (const LxAudit *audit);
+double lx_audit_compute_wasted_token_ratio (const LxAudit *audit);
 
 #endif
--- a/packages/sim/include/lx-callers.h
+++ b/packages/sim/include/lx-callers.h
@@ -67,9 +67,11 @@
 void lx_callers_start (LxCallers *callers);
 /* Sends a call that a trace requests. */
 void lx_callers_submit_call (LxCallers *callers, const LxCallSpec *spec);
-void
-lx_callers_send_piece (LxCallers *callers, LxCall *call, uint64_t stream, const LcPiece *piece);
-void lx_callers_send_result (LxCallers *callers, LxCall *call, LbErrorCode error);
+void lx_callers_schedule_piece_arrival (LxCallers *callers,
+                                        LxCall *call,
+                                        uint64_t stream,
+                                        const LcPiece *piece);
+void lx_callers_schedule_result_arrival (LxCallers *callers, LxCall *call, LbErrorCode error);
 
 /* --- functions that evaluate the answers --- */
 /* Returns the latency of answered model calls at this quantile, 0..1; 0 if there are none. Sorts
--- a/packages/sim/include/lx-faults.h
+++ b/packages/sim/include/lx-faults.h
@@ -54,6 +54,6 @@
 const char *lx_fault_name (LxFault fault);
 /* Returns true for this share, 0..1, of the simulation events. The result depends only on the seed
  * and the number of the current event. */
-bool lx_faults_is_event_selected (const LxFaults *faults, double share);
+bool lx_faults_is_current_event_affected (const LxFaults *faults, double share);
 
 #endif
--- a/packages/sim/include/lx-instance.h
+++ b/packages/sim/include/lx-instance.h
@@ -110,22 +110,25 @@
     LxInstance *instance, LcRequestSpec *spec, uint64_t job, LxCall *call, LbError *error);
 /* Sends a piece or the end of a stream from an endpoint to the instance. A piece arrives after the
  * one-way network latency, an end after the latency plus `delay`. */
-void lx_instance_send_piece (LxInstance *instance,
-                             const LxEngine *engine,
-                             const LxStreamSpec *stream,
-                             const LcPiece *piece);
-void lx_instance_send_end (LxInstance *instance,
-                           const LxEngine *engine,
-                           const LxStreamSpec *stream,
-                           LcAttemptEnd end,
-                           LbTime delay);
+void lx_instance_schedule_piece_arrival (LxInstance *instance,
+                                         const LxEngine *engine,
+                                         const LxStreamSpec *stream,
+                                         const LcPiece *piece);
+void lx_instance_schedule_stream_end_arrival (LxInstance *instance,
+                                              const LxEngine *engine,
+                                              const LxStreamSpec *stream,
+                                              LcAttemptEnd end,
+                                              LbTime delay);
 void
 lx_instance_record_load_report (LxInstance *instance, size_t engine, const LcLoadReport *report);
-void lx_instance_set_weight_swap (LxInstance *instance, size_t engine, bool pending, LbTime until);
-void lx_instance_set_versions (LxInstance *instance, LcVersion newest, LbTime version_interval);
+void
+lx_instance_set_engine_swap_state (LxInstance *instance, size_t engine, bool pending, LbTime until);
+void lx_instance_set_newest_weight_version (LxInstance *instance,
+                                            LcVersion newest,
+                                            LbTime version_interval);
 /* Opens a trainer's step, or takes over a step from another instance, with a new session in the
  * store. Takes ownership of the spec. */
 void lx_instance_open_step (LxInstance *instance, LcStepSpec *spec, size_t trainer);
-void lx_instance_handle_pull (LxInstance *instance, const LcPull *pull);
+void lx_instance_receive_pull (LxInstance *instance, const LcPull *pull);
 
 #endif
--- a/packages/sim/include/lx-options.h
+++ b/packages/sim/include/lx-options.h
@@ -44,9 +44,9 @@
 void lx_options_init (LxOptions *options, const LxSite *site, uint64_t seed);
 /* Accepts "lentilspindle", the name of a router policy, or a router policy with one or more rollout
  * mechanisms, such as "random+hedging". Returns false if a name is unknown. */
-bool lx_options_set_policy (LxOptions *options, const char *policy);
+bool lx_options_parse_policy (LxOptions *options, const char *policy);
 
-/* Returns the mechanism names that lx_options_set_policy accepts, as a NULL-terminated array. */
+/* Returns the mechanism names that lx_options_parse_policy accepts, as a NULL-terminated array. */
 const char *const *lx_rollout_mechanism_names (void);
 
 #endif
--- a/packages/sim/include/lx-registry.h
+++ b/packages/sim/include/lx-registry.h
@@ -28,8 +28,9 @@
 /* --- functions that start checks and change the configuration --- */
 void lx_registry_start (LxRegistry *registry);
 /* Submits a change of the pool's live reserve at this instance. */
-void
-lx_registry_request_live_reserve (LxRegistry *registry, LxInstance *instance, double live_reserve);
+void lx_registry_submit_live_reserve_change (LxRegistry *registry,
+                                             LxInstance *instance,
+                                             double live_reserve);
 /* Commits a change if `revision` is still the accepted revision. Returns a copy of the new
  * configuration, owned by the caller, or NULL on a conflict or an invalid change. */
 LcResourceSet *
--- a/packages/sim/include/lx-store.h
+++ b/packages/sim/include/lx-store.h
@@ -43,10 +43,10 @@
 LbErrorCode lx_store_write_row (
     LxStore *store, const char *key, const char *value, uint64_t session, LxWriteOutcome outcome);
 /* Starts a new session of the row and returns the session's number. */
-uint64_t lx_store_begin_session (LxStore *store, const char *key);
+uint64_t lx_store_begin_row_session (LxStore *store, const char *key);
 
 /* --- functions that only read rows --- */
 /* Returns the value; "" if the row does not exist. */
-const char *lx_store_get_value (const LxStore *store, const char *key);
+const char *lx_store_get_row_value (const LxStore *store, const char *key);
 
 #endif
--- a/packages/sim/include/lx-text.h
+++ b/packages/sim/include/lx-text.h
@@ -29,6 +29,6 @@
 char *lx_text_render (const LxText *text);
 int64_t lx_text_count_tokens (const LxText *text);
 /* Returns true if the tokens are numbered from `first` without gap or overlap. */
-bool lx_text_is_contiguous (const LxText *text, int64_t first);
+bool lx_text_is_contiguous_from (const LxText *text, int64_t first);
 
 #endif
--- a/packages/sim/include/lx-trace.h
+++ b/packages/sim/include/lx-trace.h
@@ -78,6 +78,6 @@
 lx_trace_parse (LxTrace *trace, const char *text, size_t length, const char *file, LbError *error);
 void lx_trace_clear (LxTrace *trace);
 
-const char *lx_trace_expect_name (LxTraceExpect expect);
+const char *lx_trace_expectation_name (LxTraceExpect expect);
 
 #endif
--- a/packages/sim/include/lx-trainer.h
+++ b/packages/sim/include/lx-trainer.h
@@ -87,13 +87,13 @@
 /* Ends the pull in progress after its connection broke; the trainer retries. */
 void lx_trainer_abort_pull (LxTrainer *trainer);
 /* Makes the trainer continue its step at another instance, which takes over the step. */
-void lx_trainer_change_owner (LxTrainer *trainer, size_t owner);
+void lx_trainer_move_step_to_instance (LxTrainer *trainer, size_t owner);
 
 /* --- functions that only read the state --- */
 /* Returns the time when the trainer received the last sample of the step; 0: not yet. */
-LbTime lx_trainer_step_finished_at (const LxTrainer *trainer, int64_t step);
+LbTime lx_trainer_get_step_finish_time (const LxTrainer *trainer, int64_t step);
 /* Returns the length of a sample in tokens. */
-int64_t lx_sample_length (
+int64_t lx_compute_sample_length (
     const LxOptions *options, size_t trainer, int64_t step, int64_t group, int64_t index);
 
 #endif
--- a/packages/sim/include/lx-world.h
+++ b/packages/sim/include/lx-world.h
@@ -64,9 +64,9 @@
 
 /* --- functions that only read the world --- */
 LbTime lx_world_now (const LxWorld *world);
-uint64_t lx_world_event_number (const LxWorld *world);
+uint64_t lx_world_get_event_number (const LxWorld *world);
 /* Returns the one-way network latency between two data centres, which may be the same. */
-LbTime lx_world_latency (const LxWorld *world, size_t data_centre, size_t other);
+LbTime lx_world_get_network_latency (const LxWorld *world, size_t data_centre, size_t other);
 LxEngine *lx_world_find_engine (LxWorld *world, const char *name);
 LxInstance *lx_world_find_instance (LxWorld *world, const char *name);
 /* Returns the first running instance that is neither draining nor paused, searching from index
--- a/packages/sim/src/lx-audit.c
+++ b/packages/sim/src/lx-audit.c
@@ -74,7 +74,7 @@
 }
 
 LxStepTokens *
-lx_audit_ensure_step_tokens (LxAudit *audit, uint64_t step)
+lx_audit_get_or_add_step_tokens (LxAudit *audit, uint64_t step)
 {
   while (audit->n_steps <= step)
     {
@@ -132,7 +132,7 @@
 }
 
 void
-lx_audit_compute_label (const LxAudit *audit, const LxText *text, LcLabel *label)
+lx_audit_compute_version_label (const LxAudit *audit, const LxText *text, LcLabel *label)
 {
   lc_label_init (label);
   for (size_t i = 0; i < text->n_segments; i++)
@@ -144,7 +144,7 @@
 }
 
 double
-lx_audit_compute_wasted_ratio (const LxAudit *audit)
+lx_audit_compute_wasted_token_ratio (const LxAudit *audit)
 {
   int64_t generated = 0;
   int64_t delivered = 0;
--- a/packages/sim/src/lx-callers.c
+++ b/packages/sim/src/lx-callers.c
@@ -73,10 +73,10 @@
   LbTime now = lx_world_now (world);
 
   callers->answered++;
-  if (!lx_text_is_contiguous (&call->text, 0)
+  if (!lx_text_is_contiguous_from (&call->text, 0)
       || lx_text_count_tokens (&call->text) != call->total_tokens)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_WHOLE, now,
-                               lx_world_event_number (world),
+                               lx_world_get_event_number (world),
                                "answer of job %" PRIu64 " has %" PRId64 " of %" PRId64 " tokens",
                                call->job, lx_text_count_tokens (&call->text), call->total_tokens);
   if (call->kind != LC_KIND_LIVE)
@@ -125,14 +125,17 @@
 
 /* Sends a piece from the instance to the caller. */
 void
-lx_callers_send_piece (LxCallers *callers, LxCall *call, uint64_t stream, const LcPiece *piece)
+lx_callers_schedule_piece_arrival (LxCallers *callers,
+                                   LxCall *call,
+                                   uint64_t stream,
+                                   const LcPiece *piece)
 {
   send_answer (callers, &(Answer){ .call = call, .stream = stream, .piece = *piece });
 }
 
 /* Sends the final result from the instance to the caller. The call must not be used afterwards. */
 void
-lx_callers_send_result (LxCallers *callers, LxCall *call, LbErrorCode error)
+lx_callers_schedule_result_arrival (LxCallers *callers, LxCall *call, LbErrorCode error)
 {
   send_answer (callers, &(Answer){ .call = call, .is_end = true, .error = error });
 }
@@ -197,10 +200,10 @@
   LbError error = { 0 };
 
   if (!instance || !instance->alive)
-    lx_callers_send_result (callers, submission->call, LB_ERROR_NOT_READY);
+    lx_callers_schedule_result_arrival (callers, submission->call, LB_ERROR_NOT_READY);
   else if (!lx_instance_submit_call (instance, &submission->spec, submission->call->job,
                                      submission->call, &error))
-    lx_callers_send_result (callers, submission->call, error.code);
+    lx_callers_schedule_result_arrival (callers, submission->call, error.code);
   free (submission);
 }
 
@@ -300,7 +303,7 @@
       continue;
     call->is_reported_stuck = true;
     lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, now,
-                               lx_world_event_number (world),
+                               lx_world_get_event_number (world),
                                "call of job %" PRIu64 " has no answer after its deadline",
                                call->job);
   }
--- a/packages/sim/src/lx-faults.c
+++ b/packages/sim/src/lx-faults.c
@@ -56,11 +56,12 @@
 }
 
 bool
-lx_faults_is_event_selected (const LxFaults *faults, double share)
+lx_faults_is_current_event_affected (const LxFaults *faults, double share)
 {
   const LxWorld *world = faults->world;
 
-  return hash_to_unit_interval (world->options.seed, lx_world_event_number (world), 0xfa) < share;
+  return hash_to_unit_interval (world->options.seed, lx_world_get_event_number (world), 0xfa)
+         < share;
 }
 
 static double
@@ -164,7 +165,8 @@
     if (world->trainers[i].owner == instance->index)
       {
         lx_instance_abort_step (instance, world->trainers[i].name, world->trainers[i].step);
-        lx_trainer_change_owner (&world->trainers[i], (instance->index + 1) % world->n_instances);
+        lx_trainer_move_step_to_instance (&world->trainers[i],
+                                          (instance->index + 1) % world->n_instances);
       }
 }
 
@@ -203,7 +205,7 @@
   else if (fault == LX_FAULT_INSTANCE_DRAINS)
     drain_instance_and_move_steps (world, instance);
   else if (fault == LX_FAULT_OWNER_REPLACED)
-    lx_trainer_change_owner (&world->trainers[trainer], instance->index);
+    lx_trainer_move_step_to_instance (&world->trainers[trainer], instance->index);
   else
     pause_instance (world, instance, duration);
 }
--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -57,7 +57,7 @@
 {
   LxWorld *world = instance->world;
   bool is_garbled = world->faults.garbled_until > lx_world_now (world);
-  LbTime delay = lx_world_latency (world, instance->data_centre, to->data_centre);
+  LbTime delay = lx_world_get_network_latency (world, instance->data_centre, to->data_centre);
   double draw = is_garbled ? gsl_rng_uniform (world->random) : 1;
   int copies = draw < 0.05 ? 0 : draw < 0.1 ? 2 : 1;
 
@@ -291,7 +291,7 @@
   ChangeInTransit *change = argument;
   LbTime now = current_time (instance);
   bool reply_lost = now < world->store.replies_lost_until
-                    && lx_faults_is_event_selected (&world->faults, LX_LOST_REPLY_SHARE);
+                    && lx_faults_is_current_event_affected (&world->faults, LX_LOST_REPLY_SHARE);
 
   LcResourceSet *next = NULL;
   if (now >= world->store.unavailable_until
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -164,8 +164,8 @@
 
   if (failures > instance->invariant_failures)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_CORE_INVARIANT, lx_world_now (world),
-                               lx_world_event_number (world), "%s: %" PRId64 " failed invariants",
-                               instance->name, failures);
+                               lx_world_get_event_number (world),
+                               "%s: %" PRId64 " failed invariants", instance->name, failures);
   instance->invariant_failures = failures;
 }
 
@@ -259,8 +259,8 @@
   attempt->is_open = false;
   *closing = (CloseInTransit){ .engine = attempt->engine, .stream = attempt->stream };
   lx_world_schedule (instance->world,
-                     lx_world_latency (instance->world, instance->data_centre,
-                                       attempt->engine->data_centre),
+                     lx_world_get_network_latency (instance->world, instance->data_centre,
+                                                   attempt->engine->data_centre),
                      on_connection_closed, NULL, closing, free);
 }
 
@@ -281,7 +281,8 @@
   {
     close_open_attempts (instance, request);
     if (request->call)
-      lx_callers_send_result (&instance->world->callers, request->call, LB_ERROR_STREAM_BROKEN);
+      lx_callers_schedule_result_arrival (&instance->world->callers, request->call,
+                                          LB_ERROR_STREAM_BROKEN);
   }
   for (size_t i = 0; i < instance->world->options.n_trainers; i++)
     if (instance->world->trainers[i].owner == instance->index)
@@ -340,7 +341,8 @@
                    LbTime delay)
 {
   LxDelivery *copy;
-  LbTime latency = lx_world_latency (instance->world, instance->data_centre, engine->data_centre);
+  LbTime latency
+      = lx_world_get_network_latency (instance->world, instance->data_centre, engine->data_centre);
 
   if (stream->instance_incarnation != instance->incarnation || !instance->alive)
     return;
@@ -352,20 +354,20 @@
 }
 
 void
-lx_instance_send_piece (LxInstance *instance,
-                        const LxEngine *engine,
-                        const LxStreamSpec *stream,
-                        const LcPiece *piece)
+lx_instance_schedule_piece_arrival (LxInstance *instance,
+                                    const LxEngine *engine,
+                                    const LxStreamSpec *stream,
+                                    const LcPiece *piece)
 {
   post_piece_or_end (instance, engine, stream, &(LxDelivery){ .piece = *piece }, 0);
 }
 
 void
-lx_instance_send_end (LxInstance *instance,
-                      const LxEngine *engine,
-                      const LxStreamSpec *stream,
-                      LcAttemptEnd end,
-                      LbTime delay)
+lx_instance_schedule_stream_end_arrival (LxInstance *instance,
+                                         const LxEngine *engine,
+                                         const LxStreamSpec *stream,
+                                         LcAttemptEnd end,
+                                         LbTime delay)
 {
   post_piece_or_end (instance, engine, stream, &(LxDelivery){ .is_end = true, .end = end }, delay);
 }
@@ -378,12 +380,12 @@
   job->n_starts++;
   if (job->reported_not_run)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_RAN_AFTER_NOT_RUN, lx_world_now (world),
-                               lx_world_event_number (world),
+                               lx_world_get_event_number (world),
                                "job %" PRIu64 " was started after it was reported as not run",
                                stream->job);
   if (!job->repeatable && job->n_starts > 1)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_RAN_TWICE, lx_world_now (world),
-                               lx_world_event_number (world),
+                               lx_world_get_event_number (world),
                                "job %" PRIu64 " was started %" PRId64 " times", stream->job,
                                job->n_starts);
 }
@@ -400,13 +402,16 @@
     goto out;
   if (!engine->alive)
     {
-      lx_instance_send_end (instance, engine, &transit->stream, LC_END_NOT_SENT, 0);
+      lx_instance_schedule_stream_end_arrival (instance, engine, &transit->stream, LC_END_NOT_SENT,
+                                               0);
       goto out;
     }
   if (!lx_engine_submit_stream (engine, &transit->stream))
     {
-      lx_instance_send_end (instance, engine, &transit->stream,
-                            engine->leaving ? LC_END_REFUSED_LEAVING : LC_END_REFUSED, 0);
+      lx_instance_schedule_stream_end_arrival (instance, engine, &transit->stream,
+                                               engine->leaving ? LC_END_REFUSED_LEAVING
+                                                               : LC_END_REFUSED,
+                                               0);
       goto out;
     }
   record_job_start (instance->world, &transit->stream);
@@ -488,7 +493,7 @@
   if (engine->leaving && engine->alive
       && engine->leaving_since + MAX_LEAVE_DETECTION_TIME < current_time (instance))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_SENT_TO_LEAVING, current_time (instance),
-                               lx_world_event_number (world),
+                               lx_world_get_event_number (world),
                                "%s was leaving, but received new work from %s", engine->name,
                                instance->name);
 
@@ -497,7 +502,9 @@
   transit->instance = instance;
   transit->engine = engine;
   fill_stream_spec (instance, request, attempt, action->resume_at, &transit->stream);
-  lx_world_schedule (world, lx_world_latency (world, instance->data_centre, engine->data_centre),
+  lx_world_schedule (world,
+                     lx_world_get_network_latency (world, instance->data_centre,
+                                                   engine->data_centre),
                      on_attempt_arrived, NULL, transit, free);
 }
 
@@ -514,7 +521,7 @@
   job->reported_not_run = true;
   if (job->n_starts > 0)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_RAN_AFTER_NOT_RUN,
-                               current_time (instance), lx_world_event_number (world),
+                               current_time (instance), lx_world_get_event_number (world),
                                "job %" PRIu64 " had been started when %s returned %s", job_number,
                                instance->name, lb_error_name (error));
 }
@@ -532,7 +539,7 @@
   record_not_run_error (instance, request->job, action->error);
   if (request->call)
     {
-      lx_callers_send_result (&instance->world->callers, request->call, action->error);
+      lx_callers_schedule_result_arrival (&instance->world->callers, request->call, action->error);
     }
   else
     {
@@ -624,7 +631,8 @@
 
   LxJob job = { .kind = LC_KIND_SAMPLE, .repeatable = true };
   job.step = (uint64_t)step * world->options.n_trainers + trainer;
-  job.total_tokens = lx_sample_length (&world->options, trainer, step, group, action->index);
+  job.total_tokens
+      = lx_compute_sample_length (&world->options, trainer, step, group, action->index);
   return lx_audit_add_job (&world->audit, &job);
 }
 
@@ -696,10 +704,11 @@
   if (now < world->store.unavailable_until)
     return LX_WRITE_UNAVAILABLE;
   if (now >= world->store.replies_lost_until
-      || !lx_faults_is_event_selected (&world->faults, LX_LOST_REPLY_SHARE))
+      || !lx_faults_is_current_event_affected (&world->faults, LX_LOST_REPLY_SHARE))
     return LX_WRITE_APPLIED;
-  return lx_world_event_number (world) % LOST_WRITES_PER_LOST_REQUEST == 0 ? LX_WRITE_REQUEST_LOST
-                                                                           : LX_WRITE_REPLY_LOST;
+  return lx_world_get_event_number (world) % LOST_WRITES_PER_LOST_REQUEST == 0
+             ? LX_WRITE_REQUEST_LOST
+             : LX_WRITE_REPLY_LOST;
 }
 
 static void
@@ -781,15 +790,15 @@
       /* With LX_WRITE_REPLY_LOST the store starts a session, but the instance never receives the
        * session number. The trainer requests the step again. */
       if (outcome == LX_WRITE_REPLY_LOST)
-        lx_store_begin_session (&world->store, key);
+        lx_store_begin_row_session (&world->store, key);
       lc_step_spec_clear (spec);
       return;
     }
   StepOpening *opening = LB_NEW (StepOpening);
   opening->spec = *spec;
   opening->trainer = trainer;
-  opening->session = lx_store_begin_session (&world->store, key);
-  opening->ledger_row = lb_strdup (lx_store_get_value (&world->store, key));
+  opening->session = lx_store_begin_row_session (&world->store, key);
+  opening->ledger_row = lb_strdup (lx_store_get_row_value (&world->store, key));
   memset (spec, 0, sizeof *spec);
   lx_instance_post_message (instance, STORE_ROUND_TRIP_TIME, on_step_session_started, opening,
                             free_step_opening);
@@ -908,13 +917,13 @@
     }
   if (!is_idle)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, current_time (instance),
-                               lx_world_event_number (world),
+                               lx_world_get_event_number (world),
                                "%s: the drain should have ended within its timeout, but did not",
                                instance->name);
   for (LxRequest *request = instance->requests; request; request = request->hh.next)
     if (request->call)
       lx_audit_report_violation (&world->audit, LX_VIOLATION_CUT_BY_DRAIN, current_time (instance),
-                                 lx_world_event_number (world),
+                                 lx_world_get_event_number (world),
                                  "%s: expected no request at the end of the drain, found %" PRIu64,
                                  instance->name, request->id);
   lx_instance_kill (instance);
@@ -985,7 +994,8 @@
   request->last_forwarded_attempt = attempt->number;
   if (request->call)
     {
-      lx_callers_send_piece (&instance->world->callers, request->call, attempt->stream, piece);
+      lx_callers_schedule_piece_arrival (&instance->world->callers, request->call, attempt->stream,
+                                         piece);
       return;
     }
   if (piece->last)
@@ -1079,8 +1089,8 @@
       transit->engine = i;
       lx_engine_get_load_report (world->engines[i], &transit->report);
       lx_instance_post_message (instance,
-                                lx_world_latency (world, instance->data_centre,
-                                                  world->engines[i]->data_centre),
+                                lx_world_get_network_latency (world, instance->data_centre,
+                                                              world->engines[i]->data_centre),
                                 on_load_report_arrived, transit, free);
     }
 }
@@ -1095,7 +1105,7 @@
 }
 
 void
-lx_instance_set_weight_swap (LxInstance *instance, size_t engine, bool pending, LbTime until)
+lx_instance_set_engine_swap_state (LxInstance *instance, size_t engine, bool pending, LbTime until)
 {
   lc_endpoints_set_weight_swap_state (lc_dispatch_get_endpoints (instance->dispatch),
                                       instance->world->engines[engine]->name, pending, until,
@@ -1103,7 +1113,9 @@
 }
 
 void
-lx_instance_set_versions (LxInstance *instance, LcVersion newest, LbTime version_interval)
+lx_instance_set_newest_weight_version (LxInstance *instance,
+                                       LcVersion newest,
+                                       LbTime version_interval)
 {
   lc_rollouts_set_newest_pool_version (instance->rollouts, instance->world->options.site->pool,
                                        newest, version_interval, current_time (instance),
@@ -1112,7 +1124,7 @@
 }
 
 void
-lx_instance_handle_pull (LxInstance *instance, const LcPull *pull)
+lx_instance_receive_pull (LxInstance *instance, const LcPull *pull)
 {
   lc_rollouts_accept_pull (instance->rollouts, pull, current_time (instance),
                            &instance->rollout_actions);
--- a/packages/sim/src/lx-options.c
+++ b/packages/sim/src/lx-options.c
@@ -72,7 +72,7 @@
 }
 
 bool
-lx_options_set_policy (LxOptions *options, const char *policy)
+lx_options_parse_policy (LxOptions *options, const char *policy)
 {
   char copy[256];
   char *rest;
--- a/packages/sim/src/lx-registry.c
+++ b/packages/sim/src/lx-registry.c
@@ -97,7 +97,7 @@
 
   if (revision < instance->checked_revision)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_REVERTED, now,
-                               lx_world_event_number (world),
+                               lx_world_get_event_number (world),
                                "%s went back from revision %" PRId64 " to %" PRId64, instance->name,
                                instance->checked_revision, revision);
   instance->checked_revision = revision;
@@ -105,7 +105,7 @@
     registry->first_active_at[revision] = now;
   if (is_past_catch_up_time (instance, now) && revision < due)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_IN_FORCE, now,
-                               lx_world_event_number (world),
+                               lx_world_get_event_number (world),
                                "%s has revision %" PRId64 " active, %" PRId64
                                " was accepted %.1f s ago",
                                instance->name, revision, due,
@@ -115,7 +115,7 @@
   if (!instance->was_ready && lc_config_is_ready_for_new_work (instance->config)
       && revision < get_newest_revision_in_use_for_long (registry, now))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_REVERTED, now,
-                               lx_world_event_number (world),
+                               lx_world_get_event_number (world),
                                "%s is ready with revision %" PRId64 " after %" PRId64 " was active",
                                instance->name, revision,
                                get_newest_revision_in_use_for_long (registry, now));
@@ -155,7 +155,9 @@
 }
 
 void
-lx_registry_request_live_reserve (LxRegistry *registry, LxInstance *instance, double live_reserve)
+lx_registry_submit_live_reserve_change (LxRegistry *registry,
+                                        LxInstance *instance,
+                                        double live_reserve)
 {
   struct json_object *change = build_live_reserve_change (registry, live_reserve);
 
--- a/packages/sim/src/lx-replay.c
+++ b/packages/sim/src/lx-replay.c
@@ -72,9 +72,9 @@
 {
   replay->n_failures++;
   fprintf (replay->out, "%s:%d: %s: %s (at %.3f s, event %" PRIu64 ")\n", replay->name, line->line,
-           line->event ? "event" : lx_trace_expect_name ((LxTraceExpect)line->expect), problem,
+           line->event ? "event" : lx_trace_expectation_name ((LxTraceExpect)line->expect), problem,
            (double)(lx_world_now (replay->world) - replay->started_at) / LB_SEC,
-           lx_world_event_number (replay->world));
+           lx_world_get_event_number (replay->world));
 }
 
 /* --- execution of the events of a trace --- */
@@ -133,7 +133,7 @@
   LxInstance *instance = lx_world_find_instance (world, line->instance[0] ? line->instance : "i1");
 
   if (instance && instance->alive)
-    lx_registry_request_live_reserve (&world->registry, instance, line->live_reserve);
+    lx_registry_submit_live_reserve_change (&world->registry, instance, line->live_reserve);
   else
     report_line_failure (replay, line, "the instance is unknown or not running");
 }
@@ -231,9 +231,9 @@
   if (line->expect == LX_EXPECT_MIXED)
     return trainer->mixed_samples >= line->count ? NULL
                                                  : "fewer than count samples have several versions";
-  if (lx_trainer_step_finished_at (trainer, line->step) == 0)
+  if (lx_trainer_get_step_finish_time (trainer, line->step) == 0)
     return "samples of the step are missing";
-  return is_within_time_limit (replay, line, lx_trainer_step_finished_at (trainer, line->step))
+  return is_within_time_limit (replay, line, lx_trainer_get_step_finish_time (trainer, line->step))
              ? NULL
              : "the last sample arrived later than by_ms";
 }
--- a/packages/sim/src/lx-result.c
+++ b/packages/sim/src/lx-result.c
@@ -84,9 +84,9 @@
   result->live_calls = world->callers.answered;
   result->refused = world->callers.refused;
   result->failed = world->callers.failed;
-  result->wasted_tokens_ratio = lx_audit_compute_wasted_ratio (&world->audit);
+  result->wasted_tokens_ratio = lx_audit_compute_wasted_token_ratio (&world->audit);
   result->decisions = world->decisions;
-  result->events = lx_world_event_number (world);
+  result->events = lx_world_get_event_number (world);
   if (real_seconds > 0)
     result->decisions_per_second = (double)world->decisions / real_seconds;
 }
--- a/packages/sim/src/lx-soak.c
+++ b/packages/sim/src/lx-soak.c
@@ -83,7 +83,7 @@
            " decisions, %" PRId64 " steps, %" PRId64 " samples, %" PRId64
            " calls answered, %" PRId64 " refused, %" PRId64 " failed, %" PRId64
            " revisions, %" PRId64 " conflicts\n",
-           soak->site->name, soak->seed, lx_world_event_number (world),
+           soak->site->name, soak->seed, lx_world_get_event_number (world),
            (double)lx_world_now (world) / LB_SEC, world->faults.n_injections, world->decisions,
            steps, samples, world->callers.answered, world->callers.refused, world->callers.failed,
            world->registry.n_accepted, world->registry.n_conflicts);
--- a/packages/sim/src/lx-store.c
+++ b/packages/sim/src/lx-store.c
@@ -68,13 +68,13 @@
 }
 
 uint64_t
-lx_store_begin_session (LxStore *store, const char *key)
+lx_store_begin_row_session (LxStore *store, const char *key)
 {
   return ++find_or_add_row (store, key)->session;
 }
 
 const char *
-lx_store_get_value (const LxStore *store, const char *key)
+lx_store_get_row_value (const LxStore *store, const char *key)
 {
   const LxStoreRow *row = find_row (store, key);
 
--- a/packages/sim/src/lx-swaps.c
+++ b/packages/sim/src/lx-swaps.c
@@ -33,7 +33,7 @@
 {
   const SwapNotice *notice = argument;
 
-  lx_instance_set_weight_swap (instance, notice->engine, notice->pending, notice->until);
+  lx_instance_set_engine_swap_state (instance, notice->engine, notice->pending, notice->until);
 }
 
 static void
@@ -87,7 +87,8 @@
 {
   const LcVersion *newest = argument;
 
-  lx_instance_set_versions (instance, *newest, instance->world->options.version_interval);
+  lx_instance_set_newest_weight_version (instance, *newest,
+                                         instance->world->options.version_interval);
 }
 
 static void
--- a/packages/sim/src/lx-text.c
+++ b/packages/sim/src/lx-text.c
@@ -98,7 +98,7 @@
 }
 
 bool
-lx_text_is_contiguous (const LxText *text, int64_t first)
+lx_text_is_contiguous_from (const LxText *text, int64_t first)
 {
   for (size_t i = 0; i < text->n_segments; i++)
     {
--- a/packages/sim/src/lx-trace.c
+++ b/packages/sim/src/lx-trace.c
@@ -84,7 +84,7 @@
 };
 
 const char *
-lx_trace_expect_name (LxTraceExpect expect)
+lx_trace_expectation_name (LxTraceExpect expect)
 {
   return expect_names[expect];
 }
--- a/packages/sim/src/lx-trainer.c
+++ b/packages/sim/src/lx-trainer.c
@@ -38,7 +38,7 @@
  * sample is a straggler. The length depends only on the slot: a hedged or repeated sample has the
  * same length, so that no policy gains by repeating a sample until a short length is drawn. */
 int64_t
-lx_sample_length (
+lx_compute_sample_length (
     const LxOptions *options, size_t trainer, int64_t step, int64_t group, int64_t index)
 {
   const int64_t group_key[] = { (int64_t)trainer, step, group };
@@ -202,7 +202,7 @@
   PullInTransit *transit = argument;
 
   transit->pull.cursor = transit->cursor;
-  lx_instance_handle_pull (instance, &transit->pull);
+  lx_instance_receive_pull (instance, &transit->pull);
 }
 
 static void
@@ -252,7 +252,8 @@
 
   if (now - waiting_since < NO_SAMPLE_TIMEOUT)
     return;
-  lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, now, lx_world_event_number (world),
+  lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, now,
+                             lx_world_get_event_number (world),
                              "%s has received no sample of step %" PRId64 " for %lld s",
                              trainer->name, trainer->step,
                              (long long)((now - waiting_since) / LB_SEC));
@@ -307,7 +308,7 @@
 }
 
 LbTime
-lx_trainer_step_finished_at (const LxTrainer *trainer, int64_t step)
+lx_trainer_get_step_finish_time (const LxTrainer *trainer, int64_t step)
 {
   return step < trainer->step ? trainer->step_finished_at[step] : 0;
 }
@@ -329,9 +330,9 @@
 
   for (int64_t i = 0; i < options->groups_per_step * options->samples_per_group; i++)
     {
-      int64_t length
-          = lx_sample_length (options, trainer->index, trainer->step,
-                              i / options->samples_per_group, i % options->samples_per_group);
+      int64_t length = lx_compute_sample_length (options, trainer->index, trainer->step,
+                                                 i / options->samples_per_group,
+                                                 i % options->samples_per_group);
       longest = length > longest ? length : longest;
     }
 
@@ -368,10 +369,10 @@
 
   if (trainer->n_received < slots)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_LOST, lx_world_now (world),
-                               lx_world_event_number (world),
+                               lx_world_get_event_number (world),
                                "%s step %" PRId64 " done with %" PRId64 " of %" PRId64 " samples",
                                trainer->name, trainer->step, trainer->n_received, slots);
-  lx_audit_ensure_step_tokens (&world->audit, get_audit_step_index (trainer))->is_done = true;
+  lx_audit_get_or_add_step_tokens (&world->audit, get_audit_step_index (trainer))->is_done = true;
   if (options->explain)
     print_step_times (trainer);
   if (trainer->step > 0)
@@ -416,18 +417,18 @@
       staleness = trainer->pull_version - expected_label->spans[i].version;
   if (expected_label->tokens != length)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_WHOLE, lx_world_now (world),
-                               lx_world_event_number (world),
+                               lx_world_get_event_number (world),
                                "%s %s/%" PRId64 " has %" PRId64 " of %" PRId64 " tokens",
                                trainer->name, sample->group, sample->index, expected_label->tokens,
                                length);
   if (!is_equal_label (expected_label, &sample->label))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_MISLABELLED, lx_world_now (world),
-                               lx_world_event_number (world),
+                               lx_world_get_event_number (world),
                                "%s %s/%" PRId64 ": expected the label of the text %s, got another",
                                trainer->name, sample->group, sample->index, sample->text);
   if (staleness > world->options.site->max_lag)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_STALE, lx_world_now (world),
-                               lx_world_event_number (world),
+                               lx_world_get_event_number (world),
                                "%s %s/%" PRId64 " is %" PRId64 " versions old", trainer->name,
                                sample->group, sample->index, staleness);
   trainer->mixed_samples += expected_label->n_spans > 1;
@@ -466,7 +467,7 @@
   if (trainer->received[slot])
     {
       lx_audit_report_violation (&world->audit, LX_VIOLATION_DOUBLED, lx_world_now (world),
-                                 lx_world_event_number (world),
+                                 lx_world_get_event_number (world),
                                  "%s step %" PRId64 ": expected %s/%" PRId64
                                  " once, received it again",
                                  trainer->name, trainer->step, sample->group, sample->index);
@@ -475,17 +476,17 @@
   trainer->received[slot] = 1;
   trainer->n_received++;
   trainer->last_sample_at = lx_world_now (world);
-  if (!lx_text_parse (&text, sample->text) || !lx_text_is_contiguous (&text, 0))
+  if (!lx_text_parse (&text, sample->text) || !lx_text_is_contiguous_from (&text, 0))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_WHOLE, lx_world_now (world),
-                               lx_world_event_number (world),
+                               lx_world_get_event_number (world),
                                "%s %s/%" PRId64 ": expected tokens without gap or overlap, got %s",
                                trainer->name, sample->group, sample->index, sample->text);
   record_stream_if_ended_last (trainer, &text);
-  lx_audit_compute_label (&world->audit, &text, &expected_label);
+  lx_audit_compute_version_label (&world->audit, &text, &expected_label);
   check_and_count_sample (trainer, sample, &expected_label,
-                          lx_sample_length (&world->options, trainer->index, trainer->step, group,
-                                            sample->index));
-  lx_audit_ensure_step_tokens (&world->audit, get_audit_step_index (trainer))->delivered
+                          lx_compute_sample_length (&world->options, trainer->index, trainer->step,
+                                                    group, sample->index));
+  lx_audit_get_or_add_step_tokens (&world->audit, get_audit_step_index (trainer))->delivered
       += expected_label.tokens;
   lx_text_clear (&text);
 }
@@ -533,7 +534,7 @@
 }
 
 void
-lx_trainer_change_owner (LxTrainer *trainer, size_t owner)
+lx_trainer_move_step_to_instance (LxTrainer *trainer, size_t owner)
 {
   trainer->owner = owner;
   trainer->is_step_open = false;
--- a/packages/sim/src/lx-world.c
+++ b/packages/sim/src/lx-world.c
@@ -27,13 +27,13 @@
 }
 
 uint64_t
-lx_world_event_number (const LxWorld *world)
+lx_world_get_event_number (const LxWorld *world)
 {
   return lx_queue_count_handled_events (world->queue);
 }
 
 LbTime
-lx_world_latency (const LxWorld *world, size_t data_centre, size_t other)
+lx_world_get_network_latency (const LxWorld *world, size_t data_centre, size_t other)
 {
   return data_centre == other ? world->options.site->latency_inside
                               : world->options.site->latency_between;
@@ -110,7 +110,7 @@
   LxWorld *world = user;
   LxInstance *instance = &world->instances[stream->spec.instance];
 
-  lx_instance_send_piece (instance, engine, &stream->spec, piece);
+  lx_instance_schedule_piece_arrival (instance, engine, &stream->spec, piece);
 }
 
 static void
@@ -118,7 +118,8 @@
 {
   LxWorld *world = user;
 
-  lx_instance_send_end (&world->instances[stream->spec.instance], engine, &stream->spec, end, 0);
+  lx_instance_schedule_stream_end_arrival (&world->instances[stream->spec.instance], engine,
+                                           &stream->spec, end, 0);
 }
 
 static void
@@ -126,8 +127,8 @@
 {
   LxWorld *world = user;
 
-  lx_instance_send_end (&world->instances[stream->spec.instance], engine, &stream->spec,
-                        LC_END_BROKEN, LX_SILENT_STREAM_TIMEOUT);
+  lx_instance_schedule_stream_end_arrival (&world->instances[stream->spec.instance], engine,
+                                           &stream->spec, LC_END_BROKEN, LX_SILENT_STREAM_TIMEOUT);
 }
 
 static void
@@ -140,7 +141,7 @@
     lx_audit_add_generated_tokens (&world->audit, stream->spec.id, stream->next_token - tokens,
                                    tokens, engine->version, lx_world_now (world));
   if (stream->spec.kind == LC_KIND_SAMPLE)
-    lx_audit_ensure_step_tokens (&world->audit, step)->generated += tokens;
+    lx_audit_get_or_add_step_tokens (&world->audit, step)->generated += tokens;
 }
 
 static void
@@ -312,7 +313,7 @@
   uint64_t max = world->options.max_events;
 
   lx_world_start (world);
-  while ((max == 0 || lx_world_event_number (world) < max)
+  while ((max == 0 || lx_world_get_event_number (world) < max)
          && lx_queue_run_next_event (world->queue, until))
     if (world->options.stop_at_violation && world->audit.first_violation[0])
       return;
--- a/packages/sim/tests/test-ledger.c
+++ b/packages/sim/tests/test-ledger.c
@@ -19,7 +19,7 @@
   lx_audit_add_generated_tokens (&audit, second, 50, 50, 6, LB_SEC);
   lx_text_append (&text, first, 0, 50);
   lx_text_append (&text, second, 50, 50);
-  lx_audit_compute_label (&audit, &text, &label);
+  lx_audit_compute_version_label (&audit, &text, &label);
   cr_assert_eq (label.n_spans, 3);
   cr_assert_eq (label.tokens, 100);
   cr_assert_eq (label.spans[1].version, 5);
--- a/packages/sim/tests/test-queue.c
+++ b/packages/sim/tests/test-queue.c
@@ -48,8 +48,8 @@
   cr_assert_str_eq (rendered, "7:0:40;9:40:5;");
   cr_assert (lx_text_parse (&parsed, rendered));
   cr_assert_eq (lx_text_count_tokens (&parsed), 45);
-  cr_assert (lx_text_is_contiguous (&parsed, 0));
-  cr_assert_not (lx_text_is_contiguous (&parsed, 1));
+  cr_assert (lx_text_is_contiguous_from (&parsed, 0));
+  cr_assert_not (lx_text_is_contiguous_from (&parsed, 1));
   free (rendered);
   lx_text_clear (&text);
   lx_text_clear (&parsed);
