--- a/packages/core/bench/bench-decision.c
+++ b/packages/core/bench/bench-decision.c
@@ -14,7 +14,7 @@
 #define N_PREFIX_HASHES 8
 
 static void
-report_random_loads (LcEndpoints *endpoints, gsl_rng *rng, LbTime now)
+record_random_load_reports (LcEndpoints *endpoints, gsl_rng *rng, LbTime now)
 {
   for (size_t i = 0; i < lc_endpoints_count (endpoints); i++)
     {
@@ -42,7 +42,7 @@
 
   lc_endpoints_configure (endpoints, &set, 0);
   used_bytes = mallinfo2 ().uordblks - used_bytes;
-  report_random_loads (endpoints, rng, LB_SEC);
+  record_random_load_reports (endpoints, rng, LB_SEC);
 
   LcRouter *router = lc_router_new (policy, 1);
   uint64_t hashes[N_PREFIX_HASHES];
@@ -69,7 +69,7 @@
       lc_endpoint_request_sent (decision.endpoint, LC_KIND_LIVE, hashes[N_PREFIX_HASHES - 1], now);
       lc_endpoint_request_ended (decision.endpoint, LC_KIND_LIVE, true, 100, LB_SEC, now);
       if (i % 100 == 0)
-        report_random_loads (endpoints, rng, now);
+        record_random_load_reports (endpoints, rng, now);
     }
   printf ("%-18s %9d %9.2f %9.0f\n", policy, n_endpoints, (double)duration / rounds,
           (double)used_bytes / n_endpoints);
@@ -80,7 +80,7 @@
 }
 
 static void
-print_update_cost (const char *name, int n_endpoints, LbTime started_at, int n_updates)
+print_micros_per_update (const char *name, int n_endpoints, LbTime started_at, int n_updates)
 {
   double duration = (double)(lb_clock_monotonic () - started_at);
 
@@ -100,14 +100,14 @@
   lc_endpoints_configure (endpoints, &set, 0);
   started_at = lb_clock_monotonic ();
   for (int i = 0; i < rounds / n_endpoints; i++)
-    report_random_loads (endpoints, rng, i);
-  print_update_cost ("report", n_endpoints, started_at, rounds / n_endpoints * n_endpoints);
+    record_random_load_reports (endpoints, rng, i);
+  print_micros_per_update ("report", n_endpoints, started_at, rounds / n_endpoints * n_endpoints);
   started_at = lb_clock_monotonic ();
   for (int i = 0; i < rounds; i++)
     lc_endpoints_apply_cache_event (endpoints, set.endpoints[i % n_endpoints].name,
                                     (uint64_t)i / (uint64_t)n_endpoints + 1, true,
                                     bench_hash_pair ((uint64_t)(i % 100000), 0), i);
-  print_update_cost ("cache event", n_endpoints, started_at, rounds);
+  print_micros_per_update ("cache event", n_endpoints, started_at, rounds);
   started_at = lb_clock_monotonic ();
   for (int i = 0; i < rounds; i++)
     {
@@ -117,7 +117,7 @@
                                 i);
       lc_endpoint_request_ended (endpoint, LC_KIND_LIVE, true, 100, LB_SEC, i);
     }
-  print_update_cost ("sent and ended", n_endpoints, started_at, rounds);
+  print_micros_per_update ("sent and ended", n_endpoints, started_at, rounds);
   lc_endpoints_free (endpoints);
   free (set.endpoints);
   gsl_rng_free (rng);
--- a/packages/core/bench/bench-dispatch.c
+++ b/packages/core/bench/bench-dispatch.c
@@ -37,7 +37,7 @@
   double expire;
   double refuse;
   double bytes;
-} QueueCost;
+} QueuedRequestCosts;
 
 static void
 dispatch_bench_init (Bench *bench, size_t n_endpoints, int64_t concurrency, int64_t queue_limit)
@@ -76,7 +76,7 @@
 }
 
 static void
-free_pending_actions (Bench *bench)
+free_pending_dispatch_actions (Bench *bench)
 {
   LbLink *link = NULL;
 
@@ -86,7 +86,7 @@
 
 /* Exits with status 1 if the condition is false: the measured operation did not take place. */
 static void
-exit_unless (bool condition, const char *failure)
+exit_with_failure_unless (bool condition, const char *failure)
 {
   if (condition)
     return;
@@ -97,13 +97,13 @@
 static void
 dispatch_bench_clear (Bench *bench)
 {
-  free_pending_actions (bench);
+  free_pending_dispatch_actions (bench);
   lc_dispatch_free (bench->dispatch);
   free (bench->members);
 }
 
 static bool
-submit_request (Bench *bench, LbTime deadline)
+submit_live_request (Bench *bench, LbTime deadline)
 {
   LcRequestSpec spec = { .id = ++bench->last_id,
                          .kind = LC_KIND_LIVE,
@@ -123,7 +123,7 @@
 }
 
 static void
-answer_request (Bench *bench, LcRequestId id)
+send_complete_answer_to_dispatch (Bench *bench, LcRequestId id)
 {
   LcPiece piece = { .tokens = 100, .version = 1, .last = true };
 
@@ -133,7 +133,7 @@
 }
 
 static double
-micros_per_item_since (LbTime started_at, size_t n_items)
+compute_micros_per_item_since (LbTime started_at, size_t n_items)
 {
   return (double)(lb_clock_monotonic () - started_at) / (double)n_items;
 }
@@ -146,7 +146,7 @@
 
   bench->now += 200 * LB_SEC;
   lc_dispatch_tick (bench->dispatch, bench->now, &bench->actions);
-  return micros_per_item_since (started_at, n_waiting);
+  return compute_micros_per_item_since (started_at, n_waiting);
 }
 
 /* Returns the microseconds per call that an endpoint receives without queueing and answers in one
@@ -163,15 +163,15 @@
   for (int i = 0; i < N_REQUESTS; i++)
     {
       bench.now += LB_MSEC;
-      submit_request (&bench, LB_TIME_NEVER);
-      answer_request (&bench, bench.last_id);
-      free_pending_actions (&bench);
+      submit_live_request (&bench, LB_TIME_NEVER);
+      send_complete_answer_to_dispatch (&bench, bench.last_id);
+      free_pending_dispatch_actions (&bench);
     }
 
-  double cost = micros_per_item_since (started_at, N_REQUESTS);
+  double cost = compute_micros_per_item_since (started_at, N_REQUESTS);
 
-  exit_unless (lc_dispatch_count_requests_in_progress (bench.dispatch) == 0,
-               "calls were not answered");
+  exit_with_failure_unless (lc_dispatch_count_requests_in_progress (bench.dispatch) == 0,
+                            "calls were not answered");
   dispatch_bench_clear (&bench);
   return cost;
 }
@@ -183,7 +183,7 @@
   Bench bench;
 
   dispatch_bench_init (&bench, 10, 64, 4096);
-  submit_request (&bench, LB_TIME_NEVER);
+  submit_live_request (&bench, LB_TIME_NEVER);
 
   LbTime started_at = lb_clock_monotonic ();
 
@@ -195,57 +195,57 @@
                                  &bench.actions);
     }
 
-  double cost = micros_per_item_since (started_at, N_REQUESTS);
+  double cost = compute_micros_per_item_since (started_at, N_REQUESTS);
 
   dispatch_bench_clear (&bench);
   return cost;
 }
 
-static QueueCost
-measure_queue_costs (size_t n_endpoints, size_t n_waiting)
+static QueuedRequestCosts
+measure_queued_request_costs (size_t n_endpoints, size_t n_waiting)
 {
   Bench bench;
-  QueueCost cost;
+  QueuedRequestCosts cost;
 
   dispatch_bench_init (&bench, n_endpoints, 1, (int64_t)n_waiting);
   for (size_t i = 0; i < n_endpoints; i++)
-    submit_request (&bench, LB_TIME_NEVER);
-  free_pending_actions (&bench);
+    submit_live_request (&bench, LB_TIME_NEVER);
+  free_pending_dispatch_actions (&bench);
 
   size_t before = mallinfo2 ().uordblks;
   LbTime started_at = lb_clock_monotonic ();
   LcRequestId running_id = 1;
 
   for (size_t i = 0; i < n_waiting; i++)
-    submit_request (&bench, bench.now + 100 * LB_SEC);
-  cost.submit = micros_per_item_since (started_at, n_waiting);
+    submit_live_request (&bench, bench.now + 100 * LB_SEC);
+  cost.submit = compute_micros_per_item_since (started_at, n_waiting);
   cost.bytes = (double)(mallinfo2 ().uordblks - before) / (double)n_waiting;
   started_at = lb_clock_monotonic ();
   for (size_t i = 0; i < n_waiting; i++)
-    submit_request (&bench, LB_TIME_NEVER);
-  cost.refuse = micros_per_item_since (started_at, n_waiting);
+    submit_live_request (&bench, LB_TIME_NEVER);
+  cost.refuse = compute_micros_per_item_since (started_at, n_waiting);
   started_at = lb_clock_monotonic ();
   for (size_t i = 0; i < n_waiting / 2; i++)
     {
-      answer_request (&bench, running_id);
+      send_complete_answer_to_dispatch (&bench, running_id);
       LB_LIST_FOREACH (&bench.actions, LcAction, link, action)
       {
         if (action->type == LC_ACTION_SEND)
           running_id = action->request;
       }
-      free_pending_actions (&bench);
+      free_pending_dispatch_actions (&bench);
     }
-  cost.dequeue = micros_per_item_since (started_at, n_waiting / 2);
-  exit_unless (lc_dispatch_count_waiting_requests (bench.dispatch, LC_KIND_LIVE)
-                   == n_waiting - n_waiting / 2,
-               "calls were not dequeued");
+  cost.dequeue = compute_micros_per_item_since (started_at, n_waiting / 2);
+  exit_with_failure_unless (lc_dispatch_count_waiting_requests (bench.dispatch, LC_KIND_LIVE)
+                                == n_waiting - n_waiting / 2,
+                            "calls were not dequeued");
   cost.expire = measure_queue_expiry (&bench);
   dispatch_bench_clear (&bench);
   return cost;
 }
 
 static double
-measure_ticket_cost (double *bytes_per_ticket)
+measure_ticket_micros_and_bytes (double *bytes_per_ticket)
 {
   LcTicketLimits limits = { .lifetime = 600 * LB_SEC,
                             .max_tickets = N_REQUESTS,
@@ -264,7 +264,7 @@
       lc_tickets_finish_call (tickets, id, LB_OK, 200, answer_text, sizeof answer_text, 0);
     }
 
-  double cost = micros_per_item_since (started_at, N_REQUESTS);
+  double cost = compute_micros_per_item_since (started_at, N_REQUESTS);
 
   *bytes_per_ticket
       = (double)(mallinfo2 ().uordblks - before) / N_REQUESTS - (double)sizeof answer_text;
@@ -281,24 +281,25 @@
 }
 
 static double
-median_of_runs (double *values)
+sort_and_get_median_of_runs (double *values)
 {
   qsort (values, N_RUNS_PER_COST, sizeof *values, compare_doubles);
   return values[N_RUNS_PER_COST / 2];
 }
 
 static void
-print_call_cost (size_t n_endpoints)
+print_answered_call_cost (size_t n_endpoints)
 {
   double runs[N_RUNS_PER_COST];
 
   for (int i = 0; i < N_RUNS_PER_COST; i++)
     runs[i] = measure_answered_call_cost (n_endpoints);
-  printf ("complete call, %4zu endpoints        %8.2f us\n", n_endpoints, median_of_runs (runs));
+  printf ("complete call, %4zu endpoints        %8.2f us\n", n_endpoints,
+          sort_and_get_median_of_runs (runs));
 }
 
 static void
-print_queue_costs (size_t n_endpoints, size_t n_waiting)
+print_queued_request_costs (size_t n_endpoints, size_t n_waiting)
 {
   double submits[N_RUNS_PER_COST];
   double dequeues[N_RUNS_PER_COST];
@@ -308,7 +309,7 @@
 
   for (int i = 0; i < N_RUNS_PER_COST; i++)
     {
-      QueueCost cost = measure_queue_costs (n_endpoints, n_waiting);
+      QueuedRequestCosts cost = measure_queued_request_costs (n_endpoints, n_waiting);
 
       submits[i] = cost.submit;
       dequeues[i] = cost.dequeue;
@@ -318,8 +319,9 @@
     }
   printf ("%5zu waiting, %3zu endpoints: submit %6.2f us, refuse %6.2f us, dequeue %6.2f us, "
           "expire %6.2f us, %4.0f bytes each\n",
-          n_waiting, n_endpoints, median_of_runs (submits), median_of_runs (refuses),
-          median_of_runs (dequeues), median_of_runs (expires), bytes);
+          n_waiting, n_endpoints, sort_and_get_median_of_runs (submits),
+          sort_and_get_median_of_runs (refuses), sort_and_get_median_of_runs (dequeues),
+          sort_and_get_median_of_runs (expires), bytes);
 }
 
 int
@@ -331,16 +333,16 @@
   double bytes = 0;
 
   for (size_t i = 0; i < sizeof endpoints / sizeof endpoints[0]; i++)
-    print_call_cost (endpoints[i]);
+    print_answered_call_cost (endpoints[i]);
   for (int i = 0; i < N_RUNS_PER_COST; i++)
     runs[i] = measure_stream_piece_cost ();
-  printf ("piece of a stream                    %8.2f us\n", median_of_runs (runs));
+  printf ("piece of a stream                    %8.2f us\n", sort_and_get_median_of_runs (runs));
   for (size_t i = 0; i < sizeof waiting / sizeof waiting[0]; i++)
-    print_queue_costs (9, waiting[i]);
-  print_queue_costs (600, 4096);
+    print_queued_request_costs (9, waiting[i]);
+  print_queued_request_costs (600, 4096);
   for (int i = 0; i < N_RUNS_PER_COST; i++)
-    runs[i] = measure_ticket_cost (&bytes);
+    runs[i] = measure_ticket_micros_and_bytes (&bytes);
   printf ("ticket: issue, redeem and finish     %8.2f us, %.0f bytes without the answer\n",
-          median_of_runs (runs), bytes);
+          sort_and_get_median_of_runs (runs), bytes);
   return 0;
 }
--- a/packages/core/bench/bench-engine.c
+++ b/packages/core/bench/bench-engine.c
@@ -45,7 +45,7 @@
 }
 
 static void
-add_cache_event (BenchEngine *engine, uint64_t prefix, bool stored)
+append_cache_event (BenchEngine *engine, uint64_t prefix, bool stored)
 {
   engine->sequence++;
   if (engine->n_events < ENGINE_MAX_CACHE_EVENTS)
@@ -56,7 +56,7 @@
 /* Moves the prefix to the front of the LRU cache. If the prefix is new and the cache is full,
  * evicts the least recently used prefix. Returns true if the prefix was cached before the call. */
 static bool
-move_prefix_to_cache_front (BenchEngine *engine, uint64_t prefix)
+cache_prefix_as_most_recently_used (BenchEngine *engine, uint64_t prefix)
 {
   size_t position = 0;
 
@@ -68,14 +68,14 @@
   if (!is_cached && engine->n_cached == ENGINE_MAX_CACHED_PREFIXES)
     {
       position = ENGINE_MAX_CACHED_PREFIXES - 1;
-      add_cache_event (engine, engine->cache[position], false);
+      append_cache_event (engine, engine->cache[position], false);
     }
   else if (!is_cached)
     engine->n_cached++;
   memmove (engine->cache + 1, engine->cache, position * sizeof *engine->cache);
   engine->cache[0] = prefix;
   if (!is_cached)
-    add_cache_event (engine, prefix, true);
+    append_cache_event (engine, prefix, true);
   return is_cached;
 }
 
@@ -85,7 +85,7 @@
   while (engine->running.length < BENCH_ENGINE_CONCURRENCY && !lb_list_is_empty (&engine->waiting))
     {
       BenchRequest *request = LB_CONTAINER (lb_list_pop (&engine->waiting), BenchRequest, link);
-      bool is_cached = move_prefix_to_cache_front (engine, request->prefix);
+      bool is_cached = cache_prefix_as_most_recently_used (engine, request->prefix);
       double cached = is_cached ? request->prompt_tokens * request->prefix_share : 0;
 
       request->prefill_left = request->prompt_tokens - cached;
@@ -96,7 +96,7 @@
 }
 
 static double
-seconds_per_token (const BenchEngine *engine)
+compute_seconds_per_token (const BenchEngine *engine)
 {
   double occupied = (double)engine->running.length / BENCH_ENGINE_CONCURRENCY;
 
@@ -106,7 +106,7 @@
 double
 bench_engine_tokens_per_second (const BenchEngine *engine)
 {
-  return 1 / seconds_per_token (engine);
+  return 1 / compute_seconds_per_token (engine);
 }
 
 void
@@ -126,8 +126,8 @@
     prefill -= prefilled;
   }
 
-  double decoded
-      = seconds / seconds_per_token (engine) * (1 - 0.5 * (max_prefill - prefill) / max_prefill);
+  double decoded = seconds / compute_seconds_per_token (engine)
+                   * (1 - 0.5 * (max_prefill - prefill) / max_prefill);
 
   LB_LIST_FOREACH (&engine->running, BenchRequest, link, request)
   {
--- a/packages/core/bench/bench-engine.h
+++ b/packages/core/bench/bench-engine.h
@@ -1,11 +1,10 @@
+/* Simulates an inference engine in virtual time: continuous batching, an LRU cache with a fixed
+ * number of prefixes, and prefill of one prompt at a time, which halves the decoding speed. */
 #ifndef BENCH_ENGINE_H
 #define BENCH_ENGINE_H
 
 #include "bench-fleet.h"
 
-/* Simulates an inference engine in virtual time: continuous batching, an LRU cache with a fixed
- * number of prefixes, and prefill of one prompt at a time, which halves the decoding speed. */
-
 #define ENGINE_MAX_CACHED_PREFIXES 100
 #define ENGINE_MAX_CACHE_EVENTS 64
 
--- a/packages/core/bench/bench-membership.c
+++ b/packages/core/bench/bench-membership.c
@@ -15,7 +15,7 @@
 
 #define TICK_INTERVAL (100 * LB_MSEC)
 /* limit for all control traffic of one instance, sent and received */
-#define BUDGET_BYTES_PER_SECOND 14000.0
+#define TRAFFIC_BUDGET_BYTES_PER_SECOND 14000.0
 #define N_FAILURE_TRIALS 20
 #define MIN_SECONDS_BEFORE_FAILURE 60
 #define MIN_HEARTBEAT_PERIOD (500 * LB_MSEC)
@@ -31,7 +31,7 @@
 } Samples;
 
 static void
-add_sample (Samples *samples, double value)
+append_sample_value (Samples *samples, double value)
 {
   if (samples->count == samples->allocated)
     {
@@ -42,7 +42,7 @@
 }
 
 static int
-compare_values (const void *a, const void *b)
+compare_doubles (const void *a, const void *b)
 {
   double left = *(const double *)a, right = *(const double *)b;
 
@@ -50,11 +50,11 @@
 }
 
 static void
-print_method_row (const char *method, size_t n_members, double bytes, Samples *samples)
+print_detection_method_row (const char *method, size_t n_members, double bytes, Samples *samples)
 {
   double sum = 0;
 
-  qsort (samples->values, samples->count, sizeof *samples->values, compare_values);
+  qsort (samples->values, samples->count, sizeof *samples->values, compare_doubles);
   for (size_t i = 0; i < samples->count; i++)
     sum += samples->values[i];
   printf ("%-28s %7zu %12.0f %9.2f %9.2f %9.2f\n", method, n_members, bytes,
@@ -66,7 +66,7 @@
 
 /* Returns the bytes of a ping and its pong, with TCP and IP headers. */
 static double
-heartbeat_round_trip_bytes (void)
+compute_heartbeat_round_trip_bytes (void)
 {
   LwMessage ping = { .type = LW_PING, .digest = UINT64_MAX };
   LwMessage pong = { .type = LW_PONG, .digest = UINT64_MAX };
@@ -77,7 +77,7 @@
 /* Simulates heartbeats over one connection until the peer becomes unreachable. Returns the seconds
  * from this failure to the tick at which the detector reports it. */
 static double
-simulate_detection_seconds (LbTime period, gsl_rng *rng)
+simulate_failure_detection_seconds (LbTime period, gsl_rng *rng)
 {
   LcDetector detector;
   LbTime phase = (LbTime)gsl_rng_uniform_int (rng, (unsigned long)period);
@@ -99,21 +99,21 @@
   char method[64];
 
   for (size_t i = 0; i < N_FAILURE_TRIALS * (n_members - 1); i++)
-    add_sample (&samples, simulate_detection_seconds (period, rng));
+    append_sample_value (&samples, simulate_failure_detection_seconds (period, rng));
   snprintf (method, sizeof method, "all pairs, %.1f s", (double)period / LB_SEC);
-  print_method_row (method, n_members,
-                    (double)(n_members - 1) * heartbeat_round_trip_bytes () * LB_SEC
-                        / (double)period,
-                    &samples);
+  print_detection_method_row (method, n_members,
+                              (double)(n_members - 1) * compute_heartbeat_round_trip_bytes ()
+                                  * LB_SEC / (double)period,
+                              &samples);
 }
 
-/* Returns the heartbeat period for this number of members: 0.5 to 30 s, in proportion to it. Every
- * instance monitors all others and is monitored by them: the heartbeats that it sends and those
- * that it answers may each use half of the traffic budget. */
+/* Returns a heartbeat period in proportion to the number of members, between 0.5 and 30 s. Every
+ * instance monitors all others and is monitored by them: the heartbeats that an instance sends and
+ * those that it answers may each use half of its traffic budget. */
 static LbTime
-self_regulating_heartbeat_period (size_t n_members)
+compute_self_regulating_heartbeat_period (size_t n_members)
 {
-  double capacity = BUDGET_BYTES_PER_SECOND / 2 / heartbeat_round_trip_bytes ();
+  double capacity = TRAFFIC_BUDGET_BYTES_PER_SECOND / 2 / compute_heartbeat_round_trip_bytes ();
   LbTime period = (LbTime)((double)(n_members - 1) / capacity * LB_SEC);
 
   if (period < MIN_HEARTBEAT_PERIOD)
@@ -122,23 +122,23 @@
 }
 
 static void
-bench_self_regulating_period (size_t n_members, gsl_rng *rng)
+bench_self_regulating_heartbeats (size_t n_members, gsl_rng *rng)
 {
-  LbTime period = self_regulating_heartbeat_period (n_members);
+  LbTime period = compute_self_regulating_heartbeat_period (n_members);
   Samples samples = { 0 };
 
   for (size_t i = 0; i < N_FAILURE_TRIALS * (n_members - 1); i++)
-    add_sample (&samples, simulate_detection_seconds (period, rng));
-  print_method_row ("self-regulating period", n_members,
-                    2 * (double)(n_members - 1) * heartbeat_round_trip_bytes () * LB_SEC
-                        / (double)period,
-                    &samples);
+    append_sample_value (&samples, simulate_failure_detection_seconds (period, rng));
+  print_detection_method_row ("self-regulating period", n_members,
+                              2 * (double)(n_members - 1) * compute_heartbeat_round_trip_bytes ()
+                                  * LB_SEC / (double)period,
+                              &samples);
 }
 
 /* Simulates growth from 10 to 350 members. A new heartbeat period takes effect for each monitored
  * instance at its next heartbeat. Prints the largest number of bytes in one second. */
 static void
-bench_self_regulating_period_growth (size_t joins_per_second)
+bench_self_regulating_heartbeats_in_growing_cluster (size_t joins_per_second)
 {
   const size_t final_members = 350;
   LbTime *next = LB_NEW_ARRAY (LbTime, final_members);
@@ -153,8 +153,8 @@
         for (size_t i = 1; i < n_members; i++)
           if (next[i] <= now)
             {
-              bytes += 2 * heartbeat_round_trip_bytes ();
-              next[i] = now + self_regulating_heartbeat_period (n_members);
+              bytes += 2 * compute_heartbeat_round_trip_bytes ();
+              next[i] = now + compute_self_regulating_heartbeat_period (n_members);
             }
       largest = bytes > largest ? bytes : largest;
       for (size_t join = 0; join < joins_per_second && n_members < final_members; join++)
@@ -163,12 +163,12 @@
   printf (
       "self-regulating period, 10 to 350 members at %zu joins/s: at most %.0f bytes in a second, "
       "%.2f of the budget\n",
-      joins_per_second, largest, largest / BUDGET_BYTES_PER_SECOND);
+      joins_per_second, largest, largest / TRAFFIC_BUDGET_BYTES_PER_SECOND);
   free (next);
 }
 
 static FakePeers *
-start_cluster (size_t n_members, size_t n_rings, uint64_t seed)
+start_converged_cluster (size_t n_members, size_t n_rings, uint64_t seed)
 {
   LcMembershipSettings settings = lc_membership_settings_default ();
 
@@ -188,7 +188,7 @@
 }
 
 static double
-largest_bytes_per_second (const FakePeers *peers, size_t n_members, double seconds)
+get_largest_instance_bytes_per_second (const FakePeers *peers, size_t n_members, double seconds)
 {
   int64_t largest = 0;
 
@@ -203,7 +203,7 @@
 {
   fake_peers_reset_traffic_bytes (peers);
   fake_peers_run_until (peers, fake_peers_now (peers) + 20 * LB_SEC);
-  return largest_bytes_per_second (peers, n_members, 20);
+  return get_largest_instance_bytes_per_second (peers, n_members, 20);
 }
 
 /* Makes the subject unreachable. Adds to samples, for each other member, the seconds until it no
@@ -222,19 +222,19 @@
         if (i != subject && !is_unlisted[i] && !fake_peers_is_listed (peers, i, subject))
           {
             is_unlisted[i] = true;
-            add_sample (samples, step * 0.02);
+            append_sample_value (samples, step * 0.02);
           }
     }
   for (size_t i = 0; i < n_members; i++)
     if (i != subject && !is_unlisted[i])
-      add_sample (samples, 99);
+      append_sample_value (samples, 99);
   free (is_unlisted);
 }
 
 static void
 bench_successor_rings (size_t n_members, size_t n_rings, uint64_t seed, gsl_rng *rng)
 {
-  FakePeers *peers = start_cluster (n_members, n_rings, seed);
+  FakePeers *peers = start_converged_cluster (n_members, n_rings, seed);
   double rate = measure_steady_bytes_per_second (peers, n_members);
   Samples samples = { 0 };
   char method[64];
@@ -249,7 +249,7 @@
       fake_peers_run_until (peers, fake_peers_now (peers) + 5 * LB_SEC);
     }
   snprintf (method, sizeof method, "%zu successors on rings", n_rings);
-  print_method_row (method, n_members, rate, &samples);
+  print_detection_method_row (method, n_members, rate, &samples);
   fake_peers_free (peers);
 }
 
@@ -258,7 +258,7 @@
 static void
 bench_data_centre_loss (size_t n_members, uint64_t seed)
 {
-  FakePeers *peers = start_cluster (n_members, 3, seed);
+  FakePeers *peers = start_converged_cluster (n_members, 3, seed);
   double largest[2] = { 0 };
 
   for (int phase = 0; phase < 2; phase++)
@@ -271,7 +271,7 @@
         {
           fake_peers_reset_traffic_bytes (peers);
           fake_peers_run_until (peers, started_at + second * LB_SEC);
-          double rate = largest_bytes_per_second (peers, n_members, 1);
+          double rate = get_largest_instance_bytes_per_second (peers, n_members, 1);
           largest[phase] = rate > largest[phase] ? rate : largest[phase];
           if (phase == 1 && !agreed_after
               && fake_peers_count_converged_instances (peers) == n_members)
@@ -287,22 +287,22 @@
 }
 
 static void
-bench_all_methods (uint64_t seed, gsl_rng *rng)
+bench_all_detection_methods (uint64_t seed, gsl_rng *rng)
 {
-  printf ("heartbeat and answer: %.0f bytes\n", heartbeat_round_trip_bytes ());
+  printf ("heartbeat and answer: %.0f bytes\n", compute_heartbeat_round_trip_bytes ());
   printf ("%-28s %7s %12s %9s %9s %9s\n", "way", "members", "bytes/s", "mean s", "p99 s", "max s");
   for (size_t i = 0; i < sizeof cluster_sizes / sizeof *cluster_sizes; i++)
     {
       bench_all_pairs_heartbeats (cluster_sizes[i], 500 * LB_MSEC, rng);
       bench_all_pairs_heartbeats (cluster_sizes[i], LB_SEC, rng);
-      bench_self_regulating_period (cluster_sizes[i], rng);
+      bench_self_regulating_heartbeats (cluster_sizes[i], rng);
       for (size_t n_rings = 2; n_rings <= 4; n_rings++)
         bench_successor_rings (cluster_sizes[i], n_rings, seed, rng);
       fflush (stdout);
     }
-  bench_self_regulating_period_growth (1);
-  bench_self_regulating_period_growth (10);
-  bench_self_regulating_period_growth (50);
+  bench_self_regulating_heartbeats_in_growing_cluster (1);
+  bench_self_regulating_heartbeats_in_growing_cluster (10);
+  bench_self_regulating_heartbeats_in_growing_cluster (50);
 }
 
 /* Arguments: random seed, 1 by default; "ways" to run only the comparison of the methods, or
@@ -316,7 +316,7 @@
 
   gsl_rng_set (rng, (unsigned long)seed);
   if (strcmp (part, "region") != 0)
-    bench_all_methods (seed, rng);
+    bench_all_detection_methods (seed, rng);
   if (strcmp (part, "ways") != 0)
     bench_data_centre_loss (350, seed);
   gsl_rng_free (rng);
--- a/packages/core/bench/bench-roster.c
+++ b/packages/core/bench/bench-roster.c
@@ -15,7 +15,9 @@
 #define N_REPEATED_LISTS 50
 
 static void
-fill_engine_entry (LcRegistration *registration, LcPlanEntry *planned, size_t index)
+fill_engine_registration_and_plan_entry (LcRegistration *registration,
+                                         LcPlanEntry *planned,
+                                         size_t index)
 {
   snprintf (registration->name, sizeof registration->name, "i-%08zx", index);
   LB_COPY (registration->address, "127.0.0.1:9000");
@@ -30,7 +32,9 @@
 }
 
 static LcVersion
-apply_unchanged_list_repeatedly (LcRoster *roster, const LcRegistration *list, size_t n_engines)
+apply_unchanged_engine_list_repeatedly (LcRoster *roster,
+                                        const LcRegistration *list,
+                                        size_t n_engines)
 {
   LcVersion sum = 0;
 
@@ -55,7 +59,7 @@
   for (size_t i = 0; i < n_engines; i++)
     {
       LcPlanEntry planned = { .version = 0 };
-      fill_engine_entry (&list[i], &planned, i);
+      fill_engine_registration_and_plan_entry (&list[i], &planned, i);
       lc_engine_plan_put (&plan, &planned);
     }
   LbTime started_at = lb_clock_monotonic ();
@@ -69,7 +73,7 @@
   LbTime changed = lb_clock_monotonic () - started_at;
 
   started_at = lb_clock_monotonic ();
-  LcVersion sum = apply_unchanged_list_repeatedly (roster, list, n_engines);
+  LcVersion sum = apply_unchanged_engine_list_repeatedly (roster, list, n_engines);
   LbTime repeated = lb_clock_monotonic () - started_at;
   printf (
       "%zu engines: first list %.3f ms, a change %.3f ms, no change %.3f ms (checksum of versions "
--- a/packages/core/bench/bench-routing.c
+++ b/packages/core/bench/bench-routing.c
@@ -113,7 +113,7 @@
 }
 
 static bool
-try_send_request (Simulation *simulation, BenchRequest *request)
+try_send_request_to_engine (Simulation *simulation, BenchRequest *request)
 {
   Instance *instance = &simulation->instances[request->instance];
   uint64_t hashes[N_PREFIX_HASHES];
@@ -149,12 +149,12 @@
 static void
 send_or_queue_request (Simulation *simulation, BenchRequest *request)
 {
-  if (!try_send_request (simulation, request))
+  if (!try_send_request_to_engine (simulation, request))
     lb_list_append (&simulation->instances[request->instance].queue, &request->link);
 }
 
 static BenchRequest *
-new_request (Simulation *simulation, int instance)
+new_bench_request (Simulation *simulation, int instance)
 {
   BenchRequest *request = LB_NEW (BenchRequest);
 
@@ -170,7 +170,7 @@
 submit_live_request (Simulation *simulation)
 {
   BenchRequest *request
-      = new_request (simulation, (int)gsl_rng_uniform_int (simulation->rng, N_INSTANCES));
+      = new_bench_request (simulation, (int)gsl_rng_uniform_int (simulation->rng, N_INSTANCES));
 
   request->live = true;
   request->prefix
@@ -190,7 +190,7 @@
 
   for (int i = 0; i < SAMPLES_PER_GROUP; i++)
     {
-      BenchRequest *request = new_request (simulation, instance);
+      BenchRequest *request = new_bench_request (simulation, instance);
 
       request->prefix = prefix;
       request->prefix_share = 1;
@@ -213,7 +213,7 @@
 }
 
 static void
-schedule_delivery (Simulation *simulation, Delivery delivery)
+schedule_report_or_event_delivery (Simulation *simulation, Delivery delivery)
 {
   Delivery *copy = lb_memdup (&delivery, sizeof delivery);
 
@@ -231,18 +231,19 @@
                           .tokens_per_second = bench_engine_tokens_per_second (engine),
                           .measured_at = simulation->now };
 
-  schedule_delivery (simulation,
-                     (Delivery){ .due_at = simulation->now + simulation->options->report_lag,
-                                 .instance = instance,
-                                 .endpoint = endpoint,
-                                 .is_report = true,
-                                 .report = report });
+  schedule_report_or_event_delivery (simulation,
+                                     (Delivery){ .due_at = simulation->now
+                                                           + simulation->options->report_lag,
+                                                 .instance = instance,
+                                                 .endpoint = endpoint,
+                                                 .is_report = true,
+                                                 .report = report });
 }
 
-/* Returns true if the instance polls the endpoint at this time. Polls of different endpoints and
- * instances are spread over the period. */
+/* Returns true if the instance polls the endpoint in the current step of the simulation. Polls of
+ * different endpoints and instances are spread over the period. */
 static bool
-is_poll_due (const Simulation *simulation, int instance, int endpoint, LbTime period)
+is_endpoint_poll_due (const Simulation *simulation, int instance, int endpoint, LbTime period)
 {
   int64_t n_steps = period / STEP_DURATION;
 
@@ -254,33 +255,34 @@
 {
   for (int i = 0; i < N_INSTANCES; i++)
     for (int j = 0; j < simulation->n_engines; j++)
-      if (is_poll_due (simulation, i, j, LOAD_REPORT_PERIOD))
+      if (is_endpoint_poll_due (simulation, i, j, LOAD_REPORT_PERIOD))
         schedule_load_report (simulation, i, j);
 }
 
 static void
-schedule_cache_events (Simulation *simulation)
+schedule_due_cache_events (Simulation *simulation)
 {
   for (int j = 0; j < simulation->n_engines; j++)
     {
       BenchEngine *engine = &simulation->engines[j];
 
-      if (!is_poll_due (simulation, 0, j, CACHE_EVENTS_PERIOD))
+      if (!is_endpoint_poll_due (simulation, 0, j, CACHE_EVENTS_PERIOD))
         continue;
       for (size_t k = 0; k < engine->n_events; k++)
         for (int i = 0; i < N_INSTANCES; i++)
           if (gsl_rng_uniform (simulation->rng) >= simulation->options->lost_event_share)
-            schedule_delivery (simulation,
-                               (Delivery){ .due_at = simulation->now + CACHE_EVENTS_DELAY,
-                                           .instance = i,
-                                           .endpoint = j,
-                                           .event = engine->events[k] });
+            schedule_report_or_event_delivery (simulation,
+                                               (Delivery){ .due_at
+                                                           = simulation->now + CACHE_EVENTS_DELAY,
+                                                           .instance = i,
+                                                           .endpoint = j,
+                                                           .event = engine->events[k] });
       engine->n_events = 0;
     }
 }
 
 static void
-apply_due_deliveries (Simulation *simulation)
+apply_delivered_reports_and_events (Simulation *simulation)
 {
   char name[LB_NAME_MAX];
 
@@ -324,7 +326,7 @@
 }
 
 static void
-finish_ended_requests (Simulation *simulation, LbList *ended)
+record_and_free_ended_requests (Simulation *simulation, LbList *ended)
 {
   char name[LB_NAME_MAX];
 
@@ -357,7 +359,7 @@
       LB_LIST_FOREACH (queue, BenchRequest, link, request)
       {
         lb_list_remove (queue, &request->link);
-        if (try_send_request (simulation, request))
+        if (try_send_request_to_engine (simulation, request))
           continue;
         lb_list_prepend (queue, &request->link);
         break;
@@ -381,14 +383,14 @@
           for (int i = 0; i < simulation->n_engines; i++)
             bench_engine_reset_statistics (&simulation->engines[i]);
         }
-      apply_due_deliveries (simulation);
+      apply_delivered_reports_and_events (simulation);
       send_queued_requests (simulation);
       submit_arriving_requests (simulation);
       for (int i = 0; i < simulation->n_engines; i++)
         bench_engine_advance (&simulation->engines[i], simulation->now, STEP_DURATION, &ended);
-      finish_ended_requests (simulation, &ended);
+      record_and_free_ended_requests (simulation, &ended);
       schedule_due_load_reports (simulation);
-      schedule_cache_events (simulation);
+      schedule_due_cache_events (simulation);
     }
 }
 
@@ -457,7 +459,7 @@
 }
 
 static double
-percentile (double *values, size_t n_values, double quantile)
+sort_and_get_percentile (double *values, size_t n_values, double quantile)
 {
   qsort (values, n_values, sizeof *values, compare_doubles);
   return n_values > 0 ? values[(size_t)((double)(n_values - 1) * quantile)] : 0;
@@ -487,8 +489,9 @@
     }
   for (size_t i = 0; i < simulation->n_latencies; i++)
     measures.latency += simulation->latencies[i] / (double)simulation->n_latencies;
-  measures.live_p99 = percentile (simulation->live_latencies, simulation->n_live_latencies, 0.99);
-  measures.all_p99 = percentile (simulation->latencies, simulation->n_latencies, 0.99);
+  measures.live_p99
+      = sort_and_get_percentile (simulation->live_latencies, simulation->n_live_latencies, 0.99);
+  measures.all_p99 = sort_and_get_percentile (simulation->latencies, simulation->n_latencies, 0.99);
   measures.imbalance_tokens = max_tokens * simulation->n_engines / tokens;
   measures.imbalance_load = max_load * simulation->n_engines / load;
   measures.hits = cached / prompts;
@@ -499,7 +502,7 @@
 }
 
 static void
-print_policy_row (const char *policy, const double *sums, int seeds)
+print_policy_averages (const char *policy, const double *sums, int seeds)
 {
   printf ("%-18s", policy);
   for (size_t i = 0; i < sizeof (Measures) / sizeof (double); i++)
@@ -537,7 +540,7 @@
             sums[i] += ((const double *)&measures)[i];
           simulation_free (simulation);
         }
-      print_policy_row (*policy, sums, options->seeds);
+      print_policy_averages (*policy, sums, options->seeds);
     }
 }
 
--- a/packages/core/bench/bench-weights.c
+++ b/packages/core/bench/bench-weights.c
@@ -1,14 +1,13 @@
+/* Measures how long LcWeights takes to roll out a weight version to simulated engines, in virtual
+ * time. The load times are parameters of the simulation, not measurements of real engines. */
 #include "../tests/fake-engines.h"
 
 #include <stdio.h>
 
-/* Measures how long LcWeights takes to roll out a weight version to simulated engines, in virtual
- * time. The load times are parameters of the simulation, not measurements of real engines. */
-
 #define MAX_ROLLOUT_DURATION (600 * LB_SEC)
 
 static void
-measure_rollout (size_t n_engines, int64_t roll_out_percent, LbTime load_time)
+measure_weight_rollout_time (size_t n_engines, int64_t roll_out_percent, LbTime load_time)
 {
   FakePool pool;
 
@@ -38,6 +37,6 @@
   for (size_t i = 0; i < sizeof sizes / sizeof sizes[0]; i++)
     for (size_t j = 0; j < sizeof percents / sizeof percents[0]; j++)
       for (size_t k = 0; k < sizeof loads / sizeof loads[0]; k++)
-        measure_rollout (sizes[i], percents[j], loads[k]);
+        measure_weight_rollout_time (sizes[i], percents[j], loads[k]);
   return 0;
 }
--- a/packages/core/bench/fake-peers.c
+++ b/packages/core/bench/fake-peers.c
@@ -30,14 +30,14 @@
   EventType type;
   size_t node; /* index of the instance that handles the event */
   size_t connection;
-  LcLinkId link; /* set for REFUSED and CLOSED events */
+  LcLinkId link; /* link that was refused or closed; unused for other events */
   LwMessage message;
 } Event;
 
 typedef struct
 {
   size_t nodes[2];   /* indexes of the dialling and the accepting instance */
-  LcLinkId links[2]; /* ids of the connection at the two instances; 0: not accepted yet */
+  LcLinkId links[2]; /* link ids at these two instances; 0: not accepted yet */
   bool drops_messages;
   bool closed;
   LbTime closed_at;
@@ -78,7 +78,7 @@
 }
 
 static void
-swap_events (FakePeers *peers, size_t a, size_t b)
+swap_heap_events (FakePeers *peers, size_t a, size_t b)
 {
   Event kept = peers->event_heap[a];
 
@@ -87,7 +87,7 @@
 }
 
 static void
-push_event (FakePeers *peers, Event event)
+push_event_to_heap (FakePeers *peers, Event event)
 {
   size_t i = peers->n_events++;
 
@@ -101,11 +101,11 @@
   peers->event_heap[i] = event;
   for (; i > 0 && is_event_earlier (&peers->event_heap[i], &peers->event_heap[(i - 1) / 2]);
        i = (i - 1) / 2)
-    swap_events (peers, i, (i - 1) / 2);
+    swap_heap_events (peers, i, (i - 1) / 2);
 }
 
 static Event
-pop_event (FakePeers *peers)
+pop_earliest_event (FakePeers *peers)
 {
   Event first = peers->event_heap[0];
   size_t i = 0;
@@ -119,27 +119,27 @@
           least = child;
       if (least == i)
         return first;
-      swap_events (peers, i, least);
+      swap_heap_events (peers, i, least);
       i = least;
     }
 }
 
 /* Returns a random network delay of 0.5 to 1.5 ms. */
 static LbTime
-random_one_way_delay (FakePeers *peers)
+draw_one_way_network_delay (FakePeers *peers)
 {
   return (LbTime)(500 + gsl_rng_uniform_int (peers->rng, 1000));
 }
 
 static void
-add_traffic_bytes (FakePeers *peers, size_t a, size_t b, int64_t bytes)
+add_traffic_bytes_to_nodes (FakePeers *peers, size_t a, size_t b, int64_t bytes)
 {
   peers->nodes[a].bytes += bytes;
   peers->nodes[b].bytes += bytes;
 }
 
 static bool
-can_communicate (const FakePeers *peers, size_t a, size_t b)
+can_nodes_communicate (const FakePeers *peers, size_t a, size_t b)
 {
   bool is_partitioned
       = peers->has_partitioned_pair
@@ -202,7 +202,7 @@
 }
 
 static int
-connection_side_of_node (const Connection *connection, size_t node)
+get_connection_side_of_node (const Connection *connection, size_t node)
 {
   return connection->nodes[0] == node ? 0 : 1;
 }
@@ -212,17 +212,19 @@
 {
   size_t target = find_node_by_address (peers, action->address);
   size_t connection = add_connection (peers, node, target, action->link);
-  LbTime at = peers->now + 3 * random_one_way_delay (peers);
+  LbTime at = peers->now + 3 * draw_one_way_network_delay (peers);
 
-  if (!can_communicate (peers, node, target))
+  if (!can_nodes_communicate (peers, node, target))
     return;
   if (!peers->nodes[target].membership || peers->nodes[target].state == FAKE_KILLED)
-    push_event (peers,
-                (Event){ .at = at, .type = EVENT_REFUSED, .node = node, .link = action->link });
+    push_event_to_heap (peers,
+                        (Event){
+                            .at = at, .type = EVENT_REFUSED, .node = node, .link = action->link });
   else
-    push_event (peers,
-                (Event){
-                    .at = at, .type = EVENT_CONNECT, .node = target, .connection = connection });
+    push_event_to_heap (peers, (Event){ .at = at,
+                                        .type = EVENT_CONNECT,
+                                        .node = target,
+                                        .connection = connection });
 }
 
 int64_t
@@ -236,30 +238,33 @@
 }
 
 static void
-send_message (FakePeers *peers, size_t node, size_t index, const LwMessage *message)
+send_message_on_connection (FakePeers *peers, size_t node, size_t index, const LwMessage *message)
 {
   const Connection *connection = &peers->connections[index];
-  size_t target = connection->nodes[!connection_side_of_node (connection, node)];
-  Event event = { .at = peers->now + random_one_way_delay (peers),
+  size_t target = connection->nodes[!get_connection_side_of_node (connection, node)];
+  Event event = { .at = peers->now + draw_one_way_network_delay (peers),
                   .type = EVENT_MESSAGE,
                   .node = target,
                   .connection = index,
                   .message = *message };
 
-  add_traffic_bytes (peers, node, target, fake_peers_message_bytes (message));
+  add_traffic_bytes_to_nodes (peers, node, target, fake_peers_message_bytes (message));
   if (message->type != LW_PING && message->type != LW_PONG)
     lc_membership_frame_sent (peers->nodes[node].membership,
-                              connection->links[connection_side_of_node (connection, node)],
+                              connection->links[get_connection_side_of_node (connection, node)],
                               peers->now);
-  if (connection->drops_messages || !can_communicate (peers, node, target))
+  if (connection->drops_messages || !can_nodes_communicate (peers, node, target))
     return;
   event.message.instances
       = lb_memdup (message->instances, message->n_instances * sizeof *message->instances);
-  push_event (peers, event);
+  push_event_to_heap (peers, event);
 }
 
 static void
-broadcast_message (FakePeers *peers, size_t node, const LwMessage *message, LcLinkId excluded_link)
+broadcast_message_except_on_link (FakePeers *peers,
+                                  size_t node,
+                                  const LwMessage *message,
+                                  LcLinkId excluded_link)
 {
   LcMembership *membership = peers->nodes[node].membership;
   const char *excluded_name = lc_membership_link_peer_name (membership, excluded_link);
@@ -267,13 +272,13 @@
   for (size_t i = 0; i < peers->n_connections; i++)
     {
       const Connection *connection = &peers->connections[i];
-      int side = connection_side_of_node (connection, node);
+      int side = get_connection_side_of_node (connection, node);
       if (connection->nodes[side] != node || connection->closed)
         continue;
       const char *name = lc_membership_link_peer_name (membership, connection->links[side]);
       if (name && (!excluded_name || strcmp (name, excluded_name) != 0)
           && lc_membership_find_link (membership, name) == connection->links[side])
-        send_message (peers, node, i, message);
+        send_message_on_connection (peers, node, i, message);
     }
 }
 
@@ -285,16 +290,16 @@
   if (index == SIZE_MAX)
     return;
   Connection *connection = &peers->connections[index];
-  int other = !connection_side_of_node (connection, node);
+  int other = !get_connection_side_of_node (connection, node);
   connection->closed = true;
   connection->closed_at = peers->now;
-  add_traffic_bytes (peers, node, connection->nodes[other], 4 * HEADER_BYTES);
+  add_traffic_bytes_to_nodes (peers, node, connection->nodes[other], 4 * HEADER_BYTES);
   if (connection->links[other] && !connection->drops_messages
-      && can_communicate (peers, node, connection->nodes[other]))
-    push_event (peers, (Event){ .at = peers->now + random_one_way_delay (peers),
-                                .type = EVENT_CLOSED,
-                                .node = connection->nodes[other],
-                                .link = connection->links[other] });
+      && can_nodes_communicate (peers, node, connection->nodes[other]))
+    push_event_to_heap (peers, (Event){ .at = peers->now + draw_one_way_network_delay (peers),
+                                        .type = EVENT_CLOSED,
+                                        .node = connection->nodes[other],
+                                        .link = connection->links[other] });
 }
 
 static void
@@ -317,13 +322,14 @@
       close_connection (peers, node, action->link);
       break;
     case LC_MEMBERSHIP_BROADCAST:
-      broadcast_message (peers, node, &message, action->link);
+      broadcast_message_except_on_link (peers, node, &message, action->link);
       break;
     case LC_MEMBERSHIP_PING:
     case LC_MEMBERSHIP_SEND:
     case LC_MEMBERSHIP_COMPARE:
       if (find_connection (peers, node, action->link) != SIZE_MAX)
-        send_message (peers, node, find_connection (peers, node, action->link), &message);
+        send_message_on_connection (peers, node, find_connection (peers, node, action->link),
+                                    &message);
       break;
     case LC_MEMBERSHIP_CHANGED:
       break;
@@ -354,7 +360,7 @@
   if (scheduled_at > peers->now && scheduled_at <= at)
     return;
   peers->nodes[node].tick_at = at;
-  push_event (peers, (Event){ .at = at, .type = EVENT_TICK, .node = node });
+  push_event_to_heap (peers, (Event){ .at = at, .type = EVENT_TICK, .node = node });
 }
 
 static void
@@ -366,9 +372,9 @@
   LcMembership *dialler_membership = peers->nodes[dialler].membership;
 
   if (connection->closed || connection->drops_messages
-      || !can_communicate (peers, dialler, connection->nodes[1]))
+      || !can_nodes_communicate (peers, dialler, connection->nodes[1]))
     return;
-  add_traffic_bytes (peers, dialler, connection->nodes[1], CONNECT_HEADER_BYTES + 400);
+  add_traffic_bytes_to_nodes (peers, dialler, connection->nodes[1], CONNECT_HEADER_BYTES + 400);
   LcInstance self = *lc_membership_self (dialler_membership);
   connection->links[1] = lc_membership_link_accepted (acceptor, &self, peers->now, actions);
   fake_peers_execute_membership_actions (peers, peers->connections[index].nodes[1], actions);
@@ -383,7 +389,7 @@
 {
   const Connection *connection = &peers->connections[event->connection];
   LcMembership *membership = peers->nodes[event->node].membership;
-  LcLinkId link = connection->links[connection_side_of_node (connection, event->node)];
+  LcLinkId link = connection->links[get_connection_side_of_node (connection, event->node)];
   const LwMessage *message = &event->message;
   LwMessage pong = { .type = LW_PONG };
 
@@ -393,7 +399,7 @@
   if (message->type == LW_PING)
     {
       pong.digest = lc_membership_digest (membership);
-      send_message (peers, event->node, event->connection, &pong);
+      send_message_on_connection (peers, event->node, event->connection, &pong);
     }
   else if (message->type == LW_PONG)
     lc_membership_digest_received (membership, link, message->digest, peers->now);
@@ -406,12 +412,12 @@
 }
 
 static bool
-defer_event_if_paused (FakePeers *peers, Event *event)
+defer_event_if_node_paused (FakePeers *peers, Event *event)
 {
   if (peers->nodes[event->node].state != FAKE_PAUSED)
     return false;
   event->at = peers->now + 50 * LB_MSEC;
-  push_event (peers, *event);
+  push_event_to_heap (peers, *event);
   return true;
 }
 
@@ -421,7 +427,7 @@
   Node *node = &peers->nodes[event->node];
   LbList actions;
 
-  if (defer_event_if_paused (peers, event))
+  if (defer_event_if_node_paused (peers, event))
     return;
   lb_list_init (&actions);
   if (node->state == FAKE_RUNNING)
@@ -496,18 +502,18 @@
   peers->nodes[index].state = FAKE_RUNNING;
   lc_membership_add_seed (peers->nodes[index].membership, "0.peer.address", peers->now);
   if (!is_restart)
-    push_event (peers, (Event){ .at = peers->now + random_one_way_delay (peers),
-                                .type = EVENT_TICK,
-                                .node = index });
+    push_event_to_heap (peers, (Event){ .at = peers->now + draw_one_way_network_delay (peers),
+                                        .type = EVENT_TICK,
+                                        .node = index });
 }
 
 static void
-reset_node_connections (FakePeers *peers, size_t index)
+close_all_connections_of_node (FakePeers *peers, size_t index)
 {
   for (size_t i = 0; i < peers->n_connections; i++)
     {
       const Connection *connection = &peers->connections[i];
-      int side = connection_side_of_node (connection, index);
+      int side = get_connection_side_of_node (connection, index);
       if (connection->nodes[side] == index && !connection->closed && connection->links[side])
         close_connection (peers, index, connection->links[side]);
     }
@@ -517,7 +523,7 @@
 fake_peers_set_instance_state (FakePeers *peers, size_t index, FakeState state)
 {
   if (state == FAKE_KILLED)
-    reset_node_connections (peers, index);
+    close_all_connections_of_node (peers, index);
   peers->nodes[index].state = state;
 }
 
@@ -552,7 +558,7 @@
 {
   while (peers->n_events > 0 && peers->event_heap[0].at <= until)
     {
-      Event event = pop_event (peers);
+      Event event = pop_earliest_event (peers);
       peers->now = event.at;
       execute_event (peers, &event);
     }
--- a/packages/core/bench/fake-peers.h
+++ b/packages/core/bench/fake-peers.h
@@ -19,22 +19,23 @@
 FakePeers *fake_peers_new (size_t count, const LcMembershipSettings *settings, uint64_t seed);
 void fake_peers_free (FakePeers *peers);
 
-/* Commands: functions that change the state. */
+/* --- functions that change the simulated cluster --- */
 /* Starts or restarts an instance. The only seed address of the instance is that of instance 0. */
 void fake_peers_start_instance (FakePeers *peers, size_t index);
 void fake_peers_set_instance_state (FakePeers *peers, size_t index, FakeState state);
 /* Assigns the instance to a group. Messages between instances of different groups are lost. */
 void fake_peers_set_partition_group (FakePeers *peers, size_t index, int partition_group);
-/* Drops all messages between two instances on the connections that are open now, and only there. */
+/* Drops all messages between two instances on the connections that are open now; later connections
+ * between the two work. */
 void fake_peers_drop_messages_on_open_links (FakePeers *peers, size_t a, size_t b);
 /* Drops all messages between two instances, on open and on new connections. */
 void fake_peers_partition_pair (FakePeers *peers, size_t a, size_t b);
-/* Executes the actions that the membership of an instance has appended, and frees them. */
+/* Executes and frees the actions that the LcMembership of an instance has appended to the list. */
 void fake_peers_execute_membership_actions (FakePeers *peers, size_t index, LbList *actions);
 void fake_peers_run_until (FakePeers *peers, LbTime until);
 void fake_peers_reset_traffic_bytes (FakePeers *peers);
 
-/* Queries: functions that only read the state. */
+/* --- functions that only read the simulated cluster --- */
 LbTime fake_peers_now (const FakePeers *peers);
 LcMembership *fake_peers_membership (const FakePeers *peers, size_t index);
 /* Returns true if the observer lists the subject as available to callers. */
