--- a/packages/core/tests/dispatch-fixture.h
+++ b/packages/core/tests/dispatch-fixture.h
@@ -8,8 +8,8 @@
 #include <stdio.h>
 #include <string.h>
 
-/* An LcDispatch with the pool "reader" and the service "lookup", and the actions that it has
- * appended. */
+/* An LcDispatch with the pool "reader" and the service "lookup". `actions` holds the actions that
+ * the dispatch has requested and that the test has not taken yet. */
 typedef struct
 {
   LcDispatch *dispatch;
@@ -37,7 +37,7 @@
 /* Applies the endpoint set to the dispatch. Reports the load of each new endpoint once, because an
  * endpoint that has never reported gets no work at first. */
 static inline void
-fixture_configure (Fixture *f)
+fixture_apply_endpoint_set (Fixture *f)
 {
   LcLoadReport idle = { .version = 1, .measured_at = f->now };
 
@@ -76,11 +76,11 @@
     }
   fixture_add_endpoint (f, "s1", LC_ENDPOINT_SERVICE, "lookup", concurrency);
   fixture_add_endpoint (f, "s2", LC_ENDPOINT_SERVICE, "lookup", concurrency);
-  fixture_configure (f);
+  fixture_apply_endpoint_set (f);
 }
 
 static inline void
-fixture_drop_actions (Fixture *f)
+fixture_free_pending_actions (Fixture *f)
 {
   LbLink *link = NULL;
 
@@ -92,12 +92,12 @@
 fixture_clear (Fixture *f)
 {
   cr_assert_eq (lc_dispatch_count_invariant_failures (f->dispatch), 0);
-  fixture_drop_actions (f);
+  fixture_free_pending_actions (f);
   lc_dispatch_free (f->dispatch);
 }
 
 static inline LcRequestSpec
-fixture_new_spec (Fixture *f, LcRequestKind kind)
+fixture_make_request_spec (Fixture *f, LcRequestKind kind)
 {
   LcRequestSpec spec = { .id = ++f->last_id,
                          .kind = kind,
@@ -112,15 +112,18 @@
 }
 
 static inline bool
-fixture_submit (Fixture *f, const LcRequestSpec *spec)
+fixture_submit_request (Fixture *f, const LcRequestSpec *spec)
 {
   return lc_dispatch_submit (f->dispatch, spec, f->now, &f->actions, &f->retry_after, &f->error);
 }
 
-/* Removes actions from the list until one of this type for the request is found, and copies it to
- * *action. Returns false if there is none; all actions are then removed. */
+/* Removes and frees pending actions up to the first one of this type for the request, which is
+ * copied to *action. Returns false if there is none; all pending actions are then freed. */
 static inline bool
-fixture_take_action (Fixture *f, LcActionType type, LcRequestId request, LcAction *action)
+fixture_take_action_of_request (Fixture *f,
+                                LcActionType type,
+                                LcRequestId request,
+                                LcAction *action)
 {
   LbLink *link = NULL;
   bool found = false;
@@ -138,11 +141,11 @@
 }
 
 static inline LcAction
-fixture_expect_action (Fixture *f, LcActionType type, LcRequestId request)
+fixture_expect_action_of_request (Fixture *f, LcActionType type, LcRequestId request)
 {
   LcAction action = { .type = type };
 
-  cr_assert (fixture_take_action (f, type, request, &action),
+  cr_assert (fixture_take_action_of_request (f, type, request, &action),
              "expected an action of type %d for request %lu, got none", (int)type,
              (unsigned long)request);
   return action;
@@ -164,7 +167,7 @@
 }
 
 static inline void
-fixture_tick_at (Fixture *f, LbTime now)
+fixture_tick_dispatch_at (Fixture *f, LbTime now)
 {
   f->now = now;
   lc_dispatch_tick (f->dispatch, now, &f->actions);
--- a/packages/core/tests/endpoints-fixture.h
+++ b/packages/core/tests/endpoints-fixture.h
@@ -18,14 +18,14 @@
 } Fixture;
 
 static inline void
-fixture_configure (Fixture *f, LbTime now)
+fixture_apply_endpoint_set (Fixture *f, LbTime now)
 {
   lc_endpoints_configure (f->endpoints, &f->set, now);
 }
 
-/* Records a first report of each engine, without an incarnation. */
+/* Records the first load report of each engine, without an incarnation. */
 static inline void
-fixture_record_first_reports (Fixture *f)
+fixture_record_first_load_reports (Fixture *f)
 {
   LcLoadReport report = { .version = 1 };
 
@@ -49,8 +49,8 @@
   f->set.endpoints = f->members;
   f->set.n_endpoints = n;
   f->endpoints = lc_endpoints_new ();
-  fixture_configure (f, 0);
-  fixture_record_first_reports (f);
+  fixture_apply_endpoint_set (f, 0);
+  fixture_record_first_load_reports (f);
 }
 
 static inline void
@@ -69,14 +69,14 @@
 }
 
 static inline bool
-fixture_can_accept_live_call (Fixture *f, const char *name, LbTime now)
+fixture_can_endpoint_accept_live_call (Fixture *f, const char *name, LbTime now)
 {
   return lc_endpoint_can_accept (fixture_find_endpoint (f, name), LC_KIND_LIVE, 0, now);
 }
 
-/* Records and returns a report that is measured and received at the same time. */
+/* Records and returns a load report that is measured and received at the time `at`. */
 static inline LcLoadReport
-fixture_record_report (
+fixture_record_load_report (
     Fixture *f, const char *name, const char *incarnation, LcVersion version, LbTime at)
 {
   LcLoadReport report = { .version = version, .measured_at = at };
--- a/packages/core/tests/fake-engines.h
+++ b/packages/core/tests/fake-engines.h
@@ -1,3 +1,5 @@
+/* Simulates, in virtual time, the engines of one pool and the node that orders them to load weight
+ * versions and polls their reports. */
 #ifndef FAKE_ENGINES_H
 #define FAKE_ENGINES_H
 
@@ -8,9 +10,6 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Simulates, in virtual time, the engines of one pool and the node that orders them to load weight
- * versions and polls their reports. */
-
 #define FAKE_TICK_PERIOD (50 * LB_MSEC)
 
 typedef struct
@@ -94,10 +93,10 @@
   free (pool->engines);
 }
 
-/* Moves the lease to another instance. The new holder knows the newest version, but learns the
+/* Makes another instance the lease holder. The new holder knows the newest version, but learns the
  * state of the engines only from their reports. */
 static inline void
-fake_pool_move_lease (FakePool *pool, LcVersion newest_version)
+fake_pool_replace_lease_holder (FakePool *pool, LcVersion newest_version)
 {
   LcWeightsSettings settings;
 
@@ -124,7 +123,7 @@
 }
 
 static inline void
-fake_pool_free_actions (LbList *actions)
+fake_pool_free_weights_actions (LbList *actions)
 {
   LbLink *link;
 
@@ -134,7 +133,7 @@
 
 /* Ticks the lease holder's LcWeights and executes the load orders that it sends. */
 static inline void
-fake_pool_execute_orders (FakePool *pool)
+fake_pool_execute_load_orders (FakePool *pool)
 {
   LbList actions;
 
@@ -153,7 +152,7 @@
     else if (!pool->engines[i].ignores_orders)
       fake_engine_start_load (pool, i, action->version);
   }
-  fake_pool_free_actions (&actions);
+  fake_pool_free_weights_actions (&actions);
 }
 
 static inline void
@@ -179,7 +178,7 @@
   snprintf (report.incarnation, sizeof report.incarnation, "%d", engine->incarnation);
   lb_list_init (&actions);
   lc_weights_report_received (pool->weights, engine->name, &report, pool->now, &actions);
-  fake_pool_free_actions (&actions);
+  fake_pool_free_weights_actions (&actions);
 }
 
 static inline void
@@ -203,13 +202,13 @@
     {
       for (size_t i = 0; i < pool->n; i++)
         fake_engine_finish_load_and_report (pool, &pool->engines[i]);
-      fake_pool_execute_orders (pool);
+      fake_pool_execute_load_orders (pool);
       fake_pool_record_peak_engine_counts (pool);
     }
 }
 
 static inline size_t
-fake_pool_count_serving (const FakePool *pool, LcVersion version)
+fake_pool_count_engines_serving (const FakePool *pool, LcVersion version)
 {
   size_t n = 0;
 
@@ -228,7 +227,8 @@
 
   for (size_t i = 0; i < pool->n; i++)
     dead += pool->engines[i].dead;
-  while (fake_pool_count_serving (pool, version) < pool->n - dead && pool->now - start < timeout)
+  while (fake_pool_count_engines_serving (pool, version) < pool->n - dead
+         && pool->now - start < timeout)
     fake_pool_run_for (pool, FAKE_TICK_PERIOD);
   return pool->now - start;
 }
--- a/packages/core/tests/rollouts-fixture.h
+++ b/packages/core/tests/rollouts-fixture.h
@@ -9,7 +9,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define MAX_REQUESTS 512
+#define OWNER_MAX_REQUESTS 512
 
 /* A step owner under test. The fixture replaces the dispatcher, the trainer and the store: it
  * records requests and replies, and stores ledger writes unless a fault is set. */
@@ -17,8 +17,9 @@
 {
   LcRollouts *rollouts;
   LbTime now;
-  LcRequestSpec requests[MAX_REQUESTS]; /* in order of start; id is 0 after the request ended */
-  char *resume_texts[MAX_REQUESTS];
+  LcRequestSpec
+      requests[OWNER_MAX_REQUESTS]; /* in order of start; id is 0 after the request ended */
+  char *resume_texts[OWNER_MAX_REQUESTS];
   size_t n_requests;
   size_t n_scores;
   LcRequestId last_cancelled;
@@ -31,21 +32,21 @@
   uint64_t last_write_id;
   LcReadySample *handed_over; /* completed samples that a previous owner hands over */
   size_t n_handed_over;
-  /* Totals over all replies: replies and samples. The fields after them are from the last reply. */
-  size_t n_replies;
-  int64_t n_delivered;
+  size_t n_replies;    /* number of replies to pulls */
+  int64_t n_delivered; /* number of samples in all replies */
+  /* contents of the last reply */
   LbErrorCode reply_error;
   char *cursor;
   int64_t remaining;
   size_t n_samples;
-  char samples[MAX_REQUESTS][64]; /* samples of the last reply, each as "group/index text" */
-  LcLabel labels[MAX_REQUESTS];
+  char samples[OWNER_MAX_REQUESTS][64]; /* each sample as "group/index text" */
+  LcLabel labels[OWNER_MAX_REQUESTS];
 } Owner;
 
 static inline void owner_execute_actions (Owner *owner, LbList *actions);
 
 static inline void
-owner_record_reply (Owner *owner, const LcRolloutAction *action)
+owner_record_pull_reply (Owner *owner, const LcRolloutAction *action)
 {
   owner->n_replies++;
   owner->reply_error = action->error.code;
@@ -115,13 +116,14 @@
       else if (action->type == LC_ROLLOUT_WRITE_LEDGER)
         owner_execute_ledger_write (owner, action);
       else
-        owner_record_reply (owner, action);
+        owner_record_pull_reply (owner, action);
       lc_rollout_action_free (action);
     }
 }
 
-/* Executes `call`, which appends actions to the list `actions`, and then these actions. */
-#define OWNER_CALL(owner, call)                                                                    \
+/* Calls an LcRollouts function with the local list `actions` as an argument, then executes
+ * the actions that the function has appended to this list. */
+#define OWNER_EXECUTE_ACTIONS_OF(owner, call)                                                      \
   do                                                                                               \
     {                                                                                              \
       LbList actions;                                                                              \
@@ -132,7 +134,7 @@
   while (0)
 
 static inline void
-owner_configure (Owner *owner, const LcSubscription *subscription, int64_t max_lag)
+owner_apply_configuration (Owner *owner, const LcSubscription *subscription, int64_t max_lag)
 {
   LcPool pool = { .name = "reader" };
   LcVersionBound bound = { .name = "fresh", .max_lag = max_lag };
@@ -151,13 +153,14 @@
   LB_COPY (own_subscription.name, "t");
   LB_COPY (own_subscription.pool, "reader");
   LB_COPY (bound.subscription, "t");
-  OWNER_CALL (owner, lc_rollouts_configure (owner->rollouts, &set, owner->now, &actions));
+  OWNER_EXECUTE_ACTIONS_OF (owner,
+                            lc_rollouts_configure (owner->rollouts, &set, owner->now, &actions));
 }
 
 static inline Owner *
-owner_new_with_settings (const LcRolloutSettings *base_settings,
-                         const LcSubscription *subscription,
-                         int64_t max_lag)
+owner_new_with_rollout_settings (const LcRolloutSettings *base_settings,
+                                 const LcSubscription *subscription,
+                                 int64_t max_lag)
 {
   Owner *owner = LB_NEW (Owner);
   LcRolloutSettings settings = *base_settings;
@@ -167,7 +170,7 @@
   owner->ledger_row = lb_strdup ("");
   owner->cursor = lb_strdup ("");
   owner->rollouts = lc_rollouts_new (&settings);
-  owner_configure (owner, subscription, max_lag);
+  owner_apply_configuration (owner, subscription, max_lag);
   return owner;
 }
 
@@ -176,7 +179,7 @@
 {
   LcRolloutSettings settings = lc_rollout_settings_default ();
 
-  return owner_new_with_settings (&settings, subscription, max_lag);
+  return owner_new_with_rollout_settings (&settings, subscription, max_lag);
 }
 
 static inline void
@@ -211,19 +214,21 @@
       spec.groups[i].samples = samples;
       spec.groups[i].max_tokens = 1000;
     }
-  OWNER_CALL (owner, ok = lc_rollouts_take_over_step (owner->rollouts, &spec, &handover, owner->now,
-                                                      &actions, &error));
+  OWNER_EXECUTE_ACTIONS_OF (owner,
+                            ok = lc_rollouts_take_over_step (owner->rollouts, &spec, &handover,
+                                                             owner->now, &actions, &error));
   cr_assert (ok, "expected the step to open; %s: %s", error.where, error.detail);
 }
 
 static inline void
-owner_add_piece (
+owner_receive_generated_piece (
     Owner *owner, LcRequestId request, int64_t offset, int64_t tokens, LcVersion version)
 {
   LcPiece piece = { .offset = offset, .tokens = tokens, .version = version };
 
-  OWNER_CALL (owner, lc_rollouts_add_generated_piece (owner->rollouts, request, &piece, "e1",
-                                                      owner->now, &actions));
+  OWNER_EXECUTE_ACTIONS_OF (owner,
+                            lc_rollouts_add_generated_piece (owner->rollouts, request, &piece, "e1",
+                                                             owner->now, &actions));
 }
 
 static inline void
@@ -233,8 +238,8 @@
 
   owner_record_cancelled_request (owner, request);
   owner->n_cancelled--;
-  OWNER_CALL (owner, lc_rollouts_finish_generation (owner->rollouts, request, error, copy,
-                                                    owner->now, &actions));
+  OWNER_EXECUTE_ACTIONS_OF (owner, lc_rollouts_finish_generation (owner->rollouts, request, error,
+                                                                  copy, owner->now, &actions));
 }
 
 /* Finishes all running generations with tokens of one version. Generations that start as a result
@@ -250,7 +255,7 @@
       if (spec->id == 0 || spec->kind != LC_KIND_SAMPLE)
         continue;
       LcRequestId id = spec->id;
-      owner_add_piece (owner, id, spec->resume_at, 10, version);
+      owner_receive_generated_piece (owner, id, spec->resume_at, 10, version);
       owner_finish_generation (owner, id, LB_OK, "text");
     }
 }
@@ -268,7 +273,8 @@
                   .wait_until = owner->now + wait_time };
 
   LB_COPY (pull.subscription, "t");
-  OWNER_CALL (owner, lc_rollouts_accept_pull (owner->rollouts, &pull, owner->now, &actions));
+  OWNER_EXECUTE_ACTIONS_OF (owner,
+                            lc_rollouts_accept_pull (owner->rollouts, &pull, owner->now, &actions));
   free (copy);
 }
 
@@ -281,12 +287,12 @@
 /* Advances the time in steps of 100 ms and ticks the owner after each, as in a process that is
  * never paused. */
 static inline void
-owner_advance_time (Owner *owner, LbTime duration)
+owner_advance_time_with_ticks (Owner *owner, LbTime duration)
 {
   for (LbTime until = owner->now + duration; owner->now < until;)
     {
       owner->now += 100 * LB_MSEC;
-      OWNER_CALL (owner, lc_rollouts_tick (owner->rollouts, owner->now, &actions));
+      OWNER_EXECUTE_ACTIONS_OF (owner, lc_rollouts_tick (owner->rollouts, owner->now, &actions));
     }
 }
 
--- a/packages/core/tests/test-admission.c
+++ b/packages/core/tests/test-admission.c
@@ -9,24 +9,24 @@
 /* Fills the only engine with live calls, so that later requests wait. Returns the id of the first
  * call. */
 static LcRequestId
-fill_only_engine (Fixture *f, int concurrency)
+fill_only_engine_with_live_calls (Fixture *f, int concurrency)
 {
   LcRequestId first = f->last_id + 1;
 
   for (int i = 0; i < concurrency; i++)
     {
-      LcRequestSpec spec = fixture_new_spec (f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_make_request_spec (f, LC_KIND_LIVE);
 
-      cr_assert (fixture_submit (f, &spec));
+      cr_assert (fixture_submit_request (f, &spec));
     }
-  fixture_drop_actions (f);
+  fixture_free_pending_actions (f);
   return first;
 }
 
 static LcRequestSpec
-make_spec_of_caller (Fixture *f, LcRequestKind kind, const char *caller, double share)
+make_request_spec_of_caller (Fixture *f, LcRequestKind kind, const char *caller, double share)
 {
-  LcRequestSpec spec = fixture_new_spec (f, kind);
+  LcRequestSpec spec = fixture_make_request_spec (f, kind);
 
   LB_COPY (spec.caller, caller);
   spec.share = share;
@@ -35,7 +35,7 @@
 
 /* Completes the running request. Returns the request that is sent next; 0 if none is. */
 static LcRequestId
-complete_and_take_next_sent (Fixture *f, LcRequestId running)
+complete_request_and_take_next_sent (Fixture *f, LcRequestId running)
 {
   LbLink *link = NULL;
   LcRequestId next = 0;
@@ -60,25 +60,25 @@
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestId running = fill_only_engine (&f, 1);
-  LcRequestSpec sample = make_spec_of_caller (&f, LC_KIND_SAMPLE, "trainer", 1);
-  LcRequestSpec low = make_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
-  LcRequestSpec high = make_spec_of_caller (&f, LC_KIND_LIVE, "clerk", 1);
-  LcRequestSpec second = make_spec_of_caller (&f, LC_KIND_LIVE, "clerk", 1);
+  LcRequestId running = fill_only_engine_with_live_calls (&f, 1);
+  LcRequestSpec sample = make_request_spec_of_caller (&f, LC_KIND_SAMPLE, "trainer", 1);
+  LcRequestSpec low = make_request_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
+  LcRequestSpec high = make_request_spec_of_caller (&f, LC_KIND_LIVE, "clerk", 1);
+  LcRequestSpec second = make_request_spec_of_caller (&f, LC_KIND_LIVE, "clerk", 1);
 
   sample.priority = 1000;
   high.priority = 5;
   second.priority = 5;
-  fixture_submit (&f, &sample);
-  fixture_submit (&f, &low);
-  fixture_submit (&f, &high);
-  fixture_submit (&f, &second);
+  fixture_submit_request (&f, &sample);
+  fixture_submit_request (&f, &low);
+  fixture_submit_request (&f, &high);
+  fixture_submit_request (&f, &second);
   cr_assert_eq (lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_LIVE), 3);
-  running = complete_and_take_next_sent (&f, running);
+  running = complete_request_and_take_next_sent (&f, running);
   cr_assert_eq (running, high.id);
-  running = complete_and_take_next_sent (&f, running);
+  running = complete_request_and_take_next_sent (&f, running);
   cr_assert_eq (running, second.id);
-  running = complete_and_take_next_sent (&f, running);
+  running = complete_request_and_take_next_sent (&f, running);
   cr_assert_eq (running, low.id);
   cr_assert_eq (lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_SAMPLE), 1);
   fixture_clear (&f);
@@ -94,20 +94,20 @@
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestId running = fill_only_engine (&f, 1);
+  LcRequestId running = fill_only_engine_with_live_calls (&f, 1);
 
   for (int i = 0; i < 3; i++)
     {
       LcRequestSpec spec
-          = make_spec_of_caller (&f, LC_KIND_SAMPLE, i == 1 ? "step-2" : "step-1", 1);
+          = make_request_spec_of_caller (&f, LC_KIND_SAMPLE, i == 1 ? "step-2" : "step-1", 1);
       LB_COPY (spec.flow, "trainer");
       spec.latest_start = latest[i];
       ids[i] = spec.id;
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
     }
-  cr_assert_eq (running = complete_and_take_next_sent (&f, running), ids[1]);
-  cr_assert_eq (running = complete_and_take_next_sent (&f, running), ids[2]);
-  cr_assert_eq (running = complete_and_take_next_sent (&f, running), ids[0]);
+  cr_assert_eq (running = complete_request_and_take_next_sent (&f, running), ids[1]);
+  cr_assert_eq (running = complete_request_and_take_next_sent (&f, running), ids[2]);
+  cr_assert_eq (running = complete_request_and_take_next_sent (&f, running), ids[0]);
   fixture_clear (&f);
 }
 
@@ -120,21 +120,22 @@
 
   fixture_init (&f, &settings, 1, 1);
   f.pool.live_reserve = 0;
-  fixture_configure (&f);
+  fixture_apply_endpoint_set (&f);
 
-  LcRequestId running = fill_only_engine (&f, 1);
+  LcRequestId running = fill_only_engine_with_live_calls (&f, 1);
   LcRequestId base = f.last_id;
 
   for (int i = 0; i < 500; i++)
     {
       const char *caller = i < 300 ? "a" : i < 400 ? "b" : "c";
-      LcRequestSpec spec = make_spec_of_caller (&f, LC_KIND_SAMPLE, caller, i < 400 ? 1 : 2);
+      LcRequestSpec spec
+          = make_request_spec_of_caller (&f, LC_KIND_SAMPLE, caller, i < 400 ? 1 : 2);
 
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
     }
   for (int i = 0; i < 160; i++)
     {
-      running = complete_and_take_next_sent (&f, running);
+      running = complete_request_and_take_next_sent (&f, running);
       n_sent[running - base <= 300 ? 0 : running - base <= 400 ? 1 : 2]++;
     }
   cr_assert (abs (n_sent[0] - 40) <= 1 && abs (n_sent[1] - 40) <= 1 && abs (n_sent[2] - 80) <= 1,
@@ -153,27 +154,27 @@
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestId running = fill_only_engine (&f, 1);
-  LcRequestSpec own = make_spec_of_caller (&f, LC_KIND_LIVE, "greedy", 1);
+  LcRequestId running = fill_only_engine_with_live_calls (&f, 1);
+  LcRequestSpec own = make_request_spec_of_caller (&f, LC_KIND_LIVE, "greedy", 1);
   char name[16];
 
   for (int i = 0; i < 200; i++)
     {
       snprintf (name, sizeof name, "shop-%d", i % 10);
 
-      LcRequestSpec spec = make_spec_of_caller (&f, LC_KIND_LIVE, name, 1);
+      LcRequestSpec spec = make_request_spec_of_caller (&f, LC_KIND_LIVE, name, 1);
 
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
     }
-  fixture_submit (&f, &own);
+  fixture_submit_request (&f, &own);
   for (int i = 0; i < 110; i++)
     {
-      running = complete_and_take_next_sent (&f, running);
+      running = complete_request_and_take_next_sent (&f, running);
       if (running != own.id)
         continue;
       n_greedy_caller_turns++;
-      own = make_spec_of_caller (&f, LC_KIND_LIVE, "greedy", 1);
-      fixture_submit (&f, &own);
+      own = make_request_spec_of_caller (&f, LC_KIND_LIVE, "greedy", 1);
+      fixture_submit_request (&f, &own);
     }
   cr_assert (n_greedy_caller_turns >= 9 && n_greedy_caller_turns <= 11,
              "the caller got %d of 110 turns, expected 9 to 11", n_greedy_caller_turns);
@@ -189,28 +190,28 @@
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestId running = fill_only_engine (&f, 1);
+  LcRequestId running = fill_only_engine_with_live_calls (&f, 1);
 
   for (int i = 0; i < 200; i++)
     {
-      LcRequestSpec spec = make_spec_of_caller (&f, LC_KIND_LIVE, "steady", 1);
+      LcRequestSpec spec = make_request_spec_of_caller (&f, LC_KIND_LIVE, "steady", 1);
 
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
     }
   for (int i = 0; i < 100; i++)
-    running = complete_and_take_next_sent (&f, running);
+    running = complete_request_and_take_next_sent (&f, running);
 
   LcRequestId last_of_steady = f.last_id;
 
   for (int i = 0; i < 50; i++)
     {
-      LcRequestSpec spec = make_spec_of_caller (&f, LC_KIND_LIVE, "late", 1);
+      LcRequestSpec spec = make_request_spec_of_caller (&f, LC_KIND_LIVE, "late", 1);
 
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
     }
   for (int i = 0; i < 40; i++)
     {
-      running = complete_and_take_next_sent (&f, running);
+      running = complete_request_and_take_next_sent (&f, running);
       n_late_caller_turns += running > last_of_steady;
     }
   cr_assert (n_late_caller_turns >= 19 && n_late_caller_turns <= 21,
@@ -228,31 +229,32 @@
 
   small.queue_limit = 10;
   fixture_init (&f, &small, 1, 1);
-  fill_only_engine (&f, 1);
+  fill_only_engine_with_live_calls (&f, 1);
   for (int i = 0; i < 10; i++)
     {
-      LcRequestSpec spec = make_spec_of_caller (&f, LC_KIND_SAMPLE, i < 8 ? "many" : "few", 1);
+      LcRequestSpec spec
+          = make_request_spec_of_caller (&f, LC_KIND_SAMPLE, i < 8 ? "many" : "few", 1);
 
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
     }
 
   LcRequestId last_of_many = f.last_id - 2;
-  LcRequestSpec live = make_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
+  LcRequestSpec live = make_request_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
 
-  cr_assert (fixture_submit (&f, &live));
+  cr_assert (fixture_submit_request (&f, &live));
 
-  LcAction finish = fixture_expect_action (&f, LC_ACTION_FINISH, last_of_many);
+  LcAction finish = fixture_expect_action_of_request (&f, LC_ACTION_FINISH, last_of_many);
 
   cr_assert_eq (finish.error, LB_ERROR_OVERLOADED);
   cr_assert_gt (finish.retry_after, 0);
 
-  LcRequestSpec more = make_spec_of_caller (&f, LC_KIND_SAMPLE, "many", 1);
-  LcRequestSpec fair = make_spec_of_caller (&f, LC_KIND_SAMPLE, "new", 1);
+  LcRequestSpec more = make_request_spec_of_caller (&f, LC_KIND_SAMPLE, "many", 1);
+  LcRequestSpec fair = make_request_spec_of_caller (&f, LC_KIND_SAMPLE, "new", 1);
 
-  cr_assert_not (fixture_submit (&f, &more));
+  cr_assert_not (fixture_submit_request (&f, &more));
   cr_assert_eq (f.error.code, LB_ERROR_OVERLOADED);
   cr_assert_gt (f.retry_after, 0);
-  cr_assert (fixture_submit (&f, &fair));
+  cr_assert (fixture_submit_request (&f, &fair));
   cr_assert_eq (lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_SAMPLE), 9);
   fixture_clear (&f);
 }
@@ -266,35 +268,35 @@
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestId running = fill_only_engine (&f, 1);
+  LcRequestId running = fill_only_engine_with_live_calls (&f, 1);
 
   for (int i = 0; i < 60; i++)
     {
-      LcRequestSpec spec = make_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
+      LcRequestSpec spec = make_request_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
 
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
     }
   for (int i = 0; i < 10; i++)
     {
       f.now += 490 * LB_MSEC;
-      running = complete_and_take_next_sent (&f, running);
+      running = complete_request_and_take_next_sent (&f, running);
     }
 
-  LcRequestSpec too_late = make_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
+  LcRequestSpec too_late = make_request_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
 
   too_late.deadline = f.now + 20 * LB_SEC;
-  cr_assert_not (fixture_submit (&f, &too_late));
+  cr_assert_not (fixture_submit_request (&f, &too_late));
   cr_assert_eq (f.error.code, LB_ERROR_OVERLOADED);
   cr_assert (f.retry_after >= 20 * LB_SEC && f.retry_after <= 40 * LB_SEC,
              "retry hint is %ld ms, expected 20000 to 40000", (long)(f.retry_after / LB_MSEC));
 
-  LcRequestSpec later_deadline = make_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
-  LcRequestSpec other = make_spec_of_caller (&f, LC_KIND_LIVE, "clerk", 1);
+  LcRequestSpec later_deadline = make_request_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
+  LcRequestSpec other = make_request_spec_of_caller (&f, LC_KIND_LIVE, "clerk", 1);
 
   later_deadline.deadline = f.now + 60 * LB_SEC;
   other.deadline = f.now + 20 * LB_SEC;
-  cr_assert (fixture_submit (&f, &later_deadline));
-  cr_assert (fixture_submit (&f, &other));
+  cr_assert (fixture_submit_request (&f, &later_deadline));
+  cr_assert (fixture_submit_request (&f, &other));
   fixture_clear (&f);
 }
 
@@ -306,16 +308,16 @@
   fixture_init (&f, &settings, 1, 8);
   for (int i = 0; i < 20; i++)
     {
-      LcRequestSpec spec = make_spec_of_caller (&f, LC_KIND_SAMPLE, "trainer", 1);
+      LcRequestSpec spec = make_request_spec_of_caller (&f, LC_KIND_SAMPLE, "trainer", 1);
 
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
     }
   cr_assert_eq (lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_SAMPLE), 14);
 
-  LcRequestSpec live = make_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
+  LcRequestSpec live = make_request_spec_of_caller (&f, LC_KIND_LIVE, "shop", 1);
 
-  cr_assert (fixture_submit (&f, &live));
-  fixture_expect_action (&f, LC_ACTION_SEND, live.id);
+  cr_assert (fixture_submit_request (&f, &live));
+  fixture_expect_action_of_request (&f, LC_ACTION_SEND, live.id);
   fixture_clear (&f);
 }
 
@@ -327,23 +329,23 @@
 
   fixture_init (&f, &settings, 1, 8);
 
-  LcRequestSpec newest = make_spec_of_caller (&f, LC_KIND_SAMPLE, "trainer", 1);
-  LcRequestSpec same = make_spec_of_caller (&f, LC_KIND_SAMPLE, "trainer", 1);
-  LcRequestSpec other = make_spec_of_caller (&f, LC_KIND_SAMPLE, "other", 1);
+  LcRequestSpec newest = make_request_spec_of_caller (&f, LC_KIND_SAMPLE, "trainer", 1);
+  LcRequestSpec same = make_request_spec_of_caller (&f, LC_KIND_SAMPLE, "trainer", 1);
+  LcRequestSpec other = make_request_spec_of_caller (&f, LC_KIND_SAMPLE, "other", 1);
 
   newest.min_version = 41;
   newest.priority = 1;
-  cr_assert (fixture_submit (&f, &newest));
-  cr_assert (fixture_submit (&f, &same));
-  cr_assert (fixture_submit (&f, &other));
-  fixture_expect_action (&f, LC_ACTION_SEND, same.id);
-  fixture_expect_action (&f, LC_ACTION_SEND, other.id);
+  cr_assert (fixture_submit_request (&f, &newest));
+  cr_assert (fixture_submit_request (&f, &same));
+  cr_assert (fixture_submit_request (&f, &other));
+  fixture_expect_action_of_request (&f, LC_ACTION_SEND, same.id);
+  fixture_expect_action_of_request (&f, LC_ACTION_SEND, other.id);
   cr_assert_eq (lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_SAMPLE), 1);
 
   LcLoadReport report = { .incarnation = "e1-1", .version = 41, .measured_at = f.now };
 
   lc_dispatch_record_load_report (f.dispatch, "e1", &report, f.now, &f.actions);
-  fixture_expect_action (&f, LC_ACTION_SEND, newest.id);
+  fixture_expect_action_of_request (&f, LC_ACTION_SEND, newest.id);
   fixture_clear (&f);
 }
 
@@ -355,20 +357,20 @@
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestId first = fill_only_engine (&f, 1);
+  LcRequestId first = fill_only_engine_with_live_calls (&f, 1);
 
   for (int i = 0; i < 5; i++)
     {
-      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
     }
   fixture_end_attempt (&f, first, 1, LC_END_REFUSED);
 
-  LcRequestId running = fixture_expect_action (&f, LC_ACTION_SEND, first + 1).request;
+  LcRequestId running = fixture_expect_action_of_request (&f, LC_ACTION_SEND, first + 1).request;
 
-  fixture_tick_at (&f, f.now + 5 * LB_SEC);
-  cr_assert_eq (complete_and_take_next_sent (&f, running), first);
+  fixture_tick_dispatch_at (&f, f.now + 5 * LB_SEC);
+  cr_assert_eq (complete_request_and_take_next_sent (&f, running), first);
   fixture_clear (&f);
 }
 
@@ -381,27 +383,27 @@
   size_t n_turns = 0;
 
   fixture_init (&f, &settings, 1, 1);
-  running = fill_only_engine (&f, 1);
+  running = fill_only_engine_with_live_calls (&f, 1);
   for (int i = 0; i < 900; i++)
     {
       char name[16];
 
       snprintf (name, sizeof name, "caller-%d", i % 37);
 
-      LcRequestSpec spec
-          = make_spec_of_caller (&f, i % 3 ? LC_KIND_LIVE : LC_KIND_SAMPLE, name, 1 + i % 5);
+      LcRequestSpec spec = make_request_spec_of_caller (&f, i % 3 ? LC_KIND_LIVE : LC_KIND_SAMPLE,
+                                                        name, 1 + i % 5);
 
       spec.priority = i % 7 - 3;
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
       if (i % 11 == 0)
         lc_dispatch_cancel (f.dispatch, spec.id - 5, f.now, &f.actions);
     }
-  fixture_drop_actions (&f);
+  fixture_free_pending_actions (&f);
 
   size_t waiting = lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_LIVE)
                    + lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_SAMPLE);
 
-  while ((running = complete_and_take_next_sent (&f, running)))
+  while ((running = complete_request_and_take_next_sent (&f, running)))
     n_turns++;
   cr_assert_eq (n_turns, waiting);
   cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 0);
--- a/packages/core/tests/test-batch-cost.c
+++ b/packages/core/tests/test-batch-cost.c
@@ -4,7 +4,7 @@
 #include <gsl/gsl_randist.h>
 
 static double
-estimate_slowdown_from_noisy_reports (double slowdown, double min_fill, double max_fill)
+estimate_batch_slowdown_from_noisy_reports (double slowdown, double min_fill, double max_fill)
 {
   gsl_rng *rng = gsl_rng_alloc (gsl_rng_taus2);
   LcBatchCost cost = { 0 };
@@ -25,13 +25,13 @@
  * which repeats the prefill. */
 Test (batch_cost, estimated_slowdown_is_close_to_the_actual_slowdown)
 {
-  cr_assert_float_eq (estimate_slowdown_from_noisy_reports (0.33, 0.1, 0.9), 0.33, 0.08);
-  cr_assert_float_eq (estimate_slowdown_from_noisy_reports (2.0, 0.1, 0.9), 2.0, 0.3);
+  cr_assert_float_eq (estimate_batch_slowdown_from_noisy_reports (0.33, 0.1, 0.9), 0.33, 0.08);
+  cr_assert_float_eq (estimate_batch_slowdown_from_noisy_reports (2.0, 0.1, 0.9), 2.0, 0.3);
 }
 
 /* All engines of a pool may be equally full for hours: noise must not be taken for a slope. */
 Test (batch_cost, slowdown_stays_near_the_prior_when_all_batches_are_equally_full)
 {
-  cr_assert_float_eq (estimate_slowdown_from_noisy_reports (0.33, 0.5, 0.51), 1.0, 0.5);
+  cr_assert_float_eq (estimate_batch_slowdown_from_noisy_reports (0.33, 0.5, 0.51), 1.0, 0.5);
   cr_assert_eq (lc_batch_cost_full_batch_slowdown (&(LcBatchCost){ 0 }), 1.0);
 }
--- a/packages/core/tests/test-batch-keep.c
+++ b/packages/core/tests/test-batch-keep.c
@@ -80,7 +80,7 @@
 }
 
 static void
-record_checkpoint (Owner *owner, const LcBatchAction *action)
+record_checkpoint_parts (Owner *owner, const LcBatchAction *action)
 {
   cr_assert_eq (owner->n_pending, 0, "only one checkpoint may be in progress");
   owner->pending_bytes = 0;
@@ -100,7 +100,7 @@
 }
 
 static void
-record_actions (Owner *owner, LbList *actions)
+record_and_free_batch_actions (Owner *owner, LbList *actions)
 {
   LbLink *link;
 
@@ -113,14 +113,14 @@
           owner->resume_at[action->item_index] = action->resume_at;
         }
       else if (action->type == LC_BATCH_CHECKPOINT)
-        record_checkpoint (owner, action);
+        record_checkpoint_parts (owner, action);
       lc_batch_action_free (action);
     }
 }
 
 /* Stores a row; replaces the row with the same key, if there is one. */
 static void
-store_row (Owner *owner, SavedPart *saved)
+put_row_in_store (Owner *owner, SavedPart *saved)
 {
   for (size_t i = 0; i < owner->n_rows; i++)
     {
@@ -139,17 +139,17 @@
 /* Carries out the checkpoint in progress. is_acknowledged: whether the store's answer reaches the
  * owner. */
 static void
-complete_checkpoint (Owner *owner, bool is_acknowledged)
+execute_pending_checkpoint (Owner *owner, bool is_acknowledged)
 {
   for (size_t i = 0; i < owner->n_pending; i++)
-    store_row (owner, &owner->pending[i]);
+    put_row_in_store (owner, &owner->pending[i]);
   owner->saved_bytes += (int64_t)owner->pending_bytes;
   owner->n_pending = 0;
   lc_batch_finish_checkpoint (owner->batch, is_acknowledged);
 }
 
 static void
-fail_checkpoint (Owner *owner)
+fail_pending_checkpoint (Owner *owner)
 {
   for (size_t i = 0; i < owner->n_pending; i++)
     free (owner->pending[i].text);
@@ -164,7 +164,7 @@
 
   lb_list_init (&actions);
   lc_batch_start (owner->batch, now, &actions);
-  record_actions (owner, &actions);
+  record_and_free_batch_actions (owner, &actions);
 }
 
 static void
@@ -174,11 +174,11 @@
 
   lb_list_init (&actions);
   lc_batch_tick (owner->batch, now, &actions);
-  record_actions (owner, &actions);
+  record_and_free_batch_actions (owner, &actions);
 }
 
 static void
-add_pieces (Owner *owner, int item, int n, const char *text, LbTime now)
+add_streamed_events (Owner *owner, int item, int n, const char *text, LbTime now)
 {
   for (int i = 0; i < n; i++)
     lc_batch_add_streamed_event (owner->batch, owner->requests[item], 4, "engine-1", text, now);
@@ -198,7 +198,7 @@
 
 /* Starts the next owner from the rows that the previous owner has saved. */
 static void
-start_next_owner (Owner *before, Owner *next, size_t n_items, LbTime now)
+start_next_owner_from_saved_rows (Owner *before, Owner *next, size_t n_items, LbTime now)
 {
   owner_init (next, n_items);
   qsort (before->rows, before->n_rows, sizeof *before->rows, compare_row_keys);
@@ -223,13 +223,13 @@
 
   owner_init (&owner, 1);
   start_batch (&owner, LB_SEC);
-  add_pieces (&owner, 0, 4, "ab", LB_SEC);
+  add_streamed_events (&owner, 0, 4, "ab", LB_SEC);
   tick_batch (&owner, 2 * LB_SEC);
   cr_assert_eq (owner.n_pending, 1);
   cr_assert_eq (owner.pending[0].first_event, 0);
   cr_assert_str_eq (owner.pending[0].text, "ab\nab\nab\nab");
-  complete_checkpoint (&owner, true);
-  add_pieces (&owner, 0, 3, "cd", 2 * LB_SEC);
+  execute_pending_checkpoint (&owner, true);
+  add_streamed_events (&owner, 0, 3, "cd", 2 * LB_SEC);
   tick_batch (&owner, 3 * LB_SEC);
   cr_assert_eq (owner.n_pending, 1);
   cr_assert_eq (owner.pending[0].first_event, 4);
@@ -246,10 +246,10 @@
 
   owner_init (&owner, 1);
   start_batch (&owner, LB_SEC);
-  add_pieces (&owner, 0, 3, "a", LB_SEC);
+  add_streamed_events (&owner, 0, 3, "a", LB_SEC);
   tick_batch (&owner, 2 * LB_SEC);
-  fail_checkpoint (&owner);
-  add_pieces (&owner, 0, 3, "b", 2 * LB_SEC);
+  fail_pending_checkpoint (&owner);
+  add_streamed_events (&owner, 0, 3, "b", 2 * LB_SEC);
   tick_batch (&owner, 3 * LB_SEC);
   cr_assert_eq (owner.pending[0].first_event, 0);
   cr_assert_str_eq (owner.pending[0].text, "a\na\na\nb\nb\nb");
@@ -264,23 +264,23 @@
 
   owner_init (&first, 2);
   start_batch (&first, LB_SEC);
-  add_pieces (&first, 0, 3, "a", LB_SEC);
-  add_pieces (&first, 1, 3, "x", LB_SEC);
+  add_streamed_events (&first, 0, 3, "a", LB_SEC);
+  add_streamed_events (&first, 1, 3, "x", LB_SEC);
   tick_batch (&first, 2 * LB_SEC);
-  complete_checkpoint (&first, true);
-  add_pieces (&first, 0, 4, "b", 2 * LB_SEC);
+  execute_pending_checkpoint (&first, true);
+  add_streamed_events (&first, 0, 4, "b", 2 * LB_SEC);
   tick_batch (&first, 3 * LB_SEC);
-  complete_checkpoint (&first, true);
-  start_next_owner (&first, &second, 2, 4 * LB_SEC);
+  execute_pending_checkpoint (&first, true);
+  start_next_owner_from_saved_rows (&first, &second, 2, 4 * LB_SEC);
   cr_assert_eq (second.resume_at[0], 7);
   cr_assert_eq (second.resume_at[1], 3);
-  add_pieces (&second, 0, 3, "c", 4 * LB_SEC);
+  add_streamed_events (&second, 0, 3, "c", 4 * LB_SEC);
   tick_batch (&second, 5 * LB_SEC);
   cr_assert_eq (second.pending[0].first_event, 7);
   for (size_t i = 0; i < second.n_pending; i++)
-    store_row (&first, &second.pending[i]);
+    put_row_in_store (&first, &second.pending[i]);
   second.n_pending = 0;
-  start_next_owner (&first, &third, 2, 6 * LB_SEC);
+  start_next_owner_from_saved_rows (&first, &third, 2, 6 * LB_SEC);
   cr_assert_eq (third.resume_at[0], 10);
   owner_clear (&first);
   owner_clear (&second);
@@ -297,29 +297,29 @@
 
   owner_init (&first, 1);
   start_batch (&first, LB_SEC);
-  add_pieces (&first, 0, 3, "a", LB_SEC);
+  add_streamed_events (&first, 0, 3, "a", LB_SEC);
   tick_batch (&first, 2 * LB_SEC);
   SavedPart late_row = first.pending[0];
   late_row.text = lb_strdup (late_row.text);
-  fail_checkpoint (&first);
-  add_pieces (&first, 0, 3, "b", 2 * LB_SEC);
+  fail_pending_checkpoint (&first);
+  add_streamed_events (&first, 0, 3, "b", 2 * LB_SEC);
   tick_batch (&first, 3 * LB_SEC);
-  complete_checkpoint (&first, true);
-  add_pieces (&first, 0, 3, "c", 3 * LB_SEC);
+  execute_pending_checkpoint (&first, true);
+  add_streamed_events (&first, 0, 3, "c", 3 * LB_SEC);
   tick_batch (&first, 4 * LB_SEC);
-  complete_checkpoint (&first, true);
-  store_row (&first, &late_row);
-  start_next_owner (&first, &second, 1, 5 * LB_SEC);
+  execute_pending_checkpoint (&first, true);
+  put_row_in_store (&first, &late_row);
+  start_next_owner_from_saved_rows (&first, &second, 1, 5 * LB_SEC);
   cr_assert_eq (second.resume_at[0], 3);
-  add_pieces (&second, 0, 3, "d", 5 * LB_SEC);
+  add_streamed_events (&second, 0, 3, "d", 5 * LB_SEC);
   tick_batch (&second, 6 * LB_SEC);
   cr_assert_eq (second.pending[0].first_event, 0,
                 "the text must be saved again from its first event");
   cr_assert_str_eq (second.pending[0].text, "a\na\na\nd\nd\nd");
   for (size_t i = 0; i < second.n_pending; i++)
-    store_row (&first, &second.pending[i]);
+    put_row_in_store (&first, &second.pending[i]);
   second.n_pending = 0;
-  start_next_owner (&first, &third, 1, 7 * LB_SEC);
+  start_next_owner_from_saved_rows (&first, &third, 1, 7 * LB_SEC);
   cr_assert_eq (third.resume_at[0], 6, "parts after the gap must be ignored");
   owner_clear (&first);
   owner_clear (&second);
@@ -337,7 +337,7 @@
     EVENT_INTERVAL_MS = 76,
     WRITE_DURATION_MS = 40,
     GENERATION_MS = 6000,
-    MAX_LOST_EVENTS = 7 /* generated in 0.53 s */
+    MAX_LOST_EVENTS = 7 /* events that an engine generates in 0.53 s */
   };
   char event[401];
   Owner owner;
@@ -355,10 +355,10 @@
         {
           n_generated++;
           for (int i = 0; i < N_TEXTS; i++)
-            add_pieces (&owner, i, 1, event, now);
+            add_streamed_events (&owner, i, 1, event, now);
         }
       if (owner.n_pending > 0 && now >= completes_at)
-        complete_checkpoint (&owner, true);
+        execute_pending_checkpoint (&owner, true);
       bool was_pending = owner.n_pending > 0;
       if (ms % 50 == 0)
         tick_batch (&owner, now);
@@ -367,7 +367,7 @@
       if (ms % 500 != 0)
         continue;
       Owner next;
-      start_next_owner (&owner, &next, N_TEXTS, now);
+      start_next_owner_from_saved_rows (&owner, &next, N_TEXTS, now);
       for (int i = 0; i < N_TEXTS; i++)
         cr_assert_geq (
             next.resume_at[i], n_generated - MAX_LOST_EVENTS,
--- a/packages/core/tests/test-batch.c
+++ b/packages/core/tests/test-batch.c
@@ -55,7 +55,7 @@
 }
 
 static void
-record_write (Fixture *f, const LcBatchAction *action)
+record_result_write (Fixture *f, const LcBatchAction *action)
 {
   f->n_writes++;
   f->first_position = action->first_position;
@@ -68,7 +68,7 @@
 }
 
 static void
-record_actions (Fixture *f)
+record_and_free_batch_actions (Fixture *f)
 {
   LbLink *link;
 
@@ -92,7 +92,7 @@
           f->n_preempted++;
           break;
         case LC_BATCH_WRITE_RESULTS:
-          record_write (f, action);
+          record_result_write (f, action);
           break;
         case LC_BATCH_CHECKPOINT:
           f->n_parts = action->n_parts;
@@ -127,11 +127,11 @@
 start_batch (Fixture *f)
 {
   lc_batch_start (f->batch, f->now, &f->actions);
-  record_actions (f);
+  record_and_free_batch_actions (f);
 }
 
 static void
-add_piece (Fixture *f, int item, LcVersion version, const char *text)
+add_streamed_event (Fixture *f, int item, LcVersion version, const char *text)
 {
   lc_batch_add_streamed_event (f->batch, f->generating[item], version, "engine-1", text, f->now);
 }
@@ -140,22 +140,22 @@
 finish_generation (Fixture *f, int item, LbErrorCode error)
 {
   lc_batch_finish_generation (f->batch, f->generating[item], error, f->now, &f->actions);
-  record_actions (f);
+  record_and_free_batch_actions (f);
 }
 
 static void
-finish_store_write (Fixture *f, bool ok)
+finish_result_write (Fixture *f, bool ok)
 {
   lc_batch_finish_result_write (f->batch, ok, f->now, &f->actions);
-  record_actions (f);
+  record_and_free_batch_actions (f);
 }
 
 static void
-advance_and_tick (Fixture *f, LbTime duration)
+advance_time_and_tick_batch (Fixture *f, LbTime duration)
 {
   f->now += duration;
   lc_batch_tick (f->batch, f->now, &f->actions);
-  record_actions (f);
+  record_and_free_batch_actions (f);
 }
 
 static void
@@ -170,17 +170,17 @@
 
   fixture_init (&f, 1, true, (LcBatchSettings){ .resumable = true });
   start_batch (&f);
-  add_piece (&f, 0, 4, "a");
-  add_piece (&f, 0, 5, "b");
+  add_streamed_event (&f, 0, 4, "a");
+  add_streamed_event (&f, 0, 5, "b");
   cr_assert_eq (f.scoring[0], 0);
   finish_generation (&f, 0, LB_OK);
   cr_assert_neq (f.scoring[0], 0);
   cr_assert_eq (f.n_writes, 0, "a result must not be written before it is scored");
   lc_batch_finish_scoring (f.batch, f.scoring[0], LB_OK, "0.5", f.now, &f.actions);
-  record_actions (&f);
+  record_and_free_batch_actions (&f);
   cr_assert_eq (f.n_writes, 1);
   cr_assert (f.completed[0]);
-  finish_store_write (&f, true);
+  finish_result_write (&f, true);
   cr_assert (lc_batch_has_stored_all_results (f.batch));
   fixture_clear (&f);
 }
@@ -193,14 +193,14 @@
 
   fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true });
   start_batch (&f);
-  add_piece (&f, 0, 4, "a");
-  add_piece (&f, 0, 4, "b");
+  add_streamed_event (&f, 0, 4, "a");
+  add_streamed_event (&f, 0, 4, "b");
   LcRequestId previous = f.generating[0];
   finish_generation (&f, 0, LB_ERROR_STREAM_BROKEN);
-  advance_and_tick (&f, LB_SEC);
+  advance_time_and_tick_batch (&f, LB_SEC);
   cr_assert_neq (f.generating[0], previous);
   cr_assert_eq (f.resume_at[0], 2);
-  add_piece (&f, 0, 5, "c");
+  add_streamed_event (&f, 0, 5, "c");
   finish_generation (&f, 0, LB_OK);
   cr_assert_eq (f.n_written, 1);
   fixture_clear (&f);
@@ -214,10 +214,10 @@
 
   fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true });
   start_batch (&f);
-  add_piece (&f, 0, 3, "a");
+  add_streamed_event (&f, 0, 3, "a");
   finish_generation (&f, 0, LB_OK);
   cr_assert_eq (f.n_writes, 0);
-  advance_and_tick (&f, LB_SEC);
+  advance_time_and_tick_batch (&f, LB_SEC);
   cr_assert_eq (f.resume_at[0], 0);
   fixture_clear (&f);
 }
@@ -231,10 +231,10 @@
   fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true });
   start_batch (&f);
   LcRequestId previous = f.generating[0];
-  add_piece (&f, 0, 3, "a");
-  advance_and_tick (&f, 200 * LB_MSEC);
+  add_streamed_event (&f, 0, 3, "a");
+  advance_time_and_tick_batch (&f, 200 * LB_MSEC);
   cr_assert_eq (f.n_cancelled, 1);
-  advance_and_tick (&f, LB_SEC);
+  advance_time_and_tick_batch (&f, LB_SEC);
   cr_assert_neq (f.generating[0], previous);
   cr_assert_eq (f.resume_at[0], 0);
   fixture_clear (&f);
@@ -246,8 +246,8 @@
 
   fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true, .single_version = true });
   start_batch (&f);
-  add_piece (&f, 0, 4, "a");
-  add_piece (&f, 0, 5, "b");
+  add_streamed_event (&f, 0, 4, "a");
+  add_streamed_event (&f, 0, 5, "b");
   finish_generation (&f, 0, LB_OK);
   cr_assert_eq (f.n_writes, 0);
   fixture_clear (&f);
@@ -262,19 +262,19 @@
 
   fixture_init (&f, 2, false, (LcBatchSettings){ .resumable = true });
   start_batch (&f);
-  add_piece (&f, 1, 4, "x");
+  add_streamed_event (&f, 1, 4, "x");
   finish_generation (&f, 1, LB_OK);
   cr_assert_str_eq (f.written_items[0], "item-1");
-  add_piece (&f, 0, 4, "y");
+  add_streamed_event (&f, 0, 4, "y");
   finish_generation (&f, 0, LB_OK);
   cr_assert_eq (f.n_writes, 1, "only one write may be in progress");
-  finish_store_write (&f, false);
-  advance_and_tick (&f, 200 * LB_MSEC);
+  finish_result_write (&f, false);
+  advance_time_and_tick_batch (&f, 200 * LB_MSEC);
   cr_assert_eq (f.n_writes, 2);
   cr_assert_eq (f.first_position, 0);
   cr_assert_eq (f.n_written, 1);
   cr_assert_str_eq (f.written_items[0], "item-1");
-  finish_store_write (&f, true);
+  finish_result_write (&f, true);
   cr_assert_eq (f.first_position, 1);
   cr_assert_str_eq (f.written_items[0], "item-0");
   fixture_clear (&f);
@@ -290,9 +290,9 @@
   start_batch (&f);
   finish_generation (&f, 0, LB_ERROR_ENDPOINT_FAILED);
   cr_assert_eq (f.n_writes, 0);
-  advance_and_tick (&f, LB_SEC);
+  advance_time_and_tick_batch (&f, LB_SEC);
   finish_generation (&f, 0, LB_ERROR_NO_ENDPOINT);
-  advance_and_tick (&f, LB_SEC);
+  advance_time_and_tick_batch (&f, LB_SEC);
   cr_assert_eq (f.n_writes, 0, "only LB_ERROR_ENDPOINT_FAILED counts as a failure");
   finish_generation (&f, 0, LB_ERROR_ENDPOINT_FAILED);
   cr_assert_eq (f.n_writes, 1);
@@ -318,14 +318,14 @@
 
   fixture_init (&f, 2, false, (LcBatchSettings){ .resumable = true, .deadline = 5 * LB_SEC });
   start_batch (&f);
-  advance_and_tick (&f, LB_SEC);
+  advance_time_and_tick_batch (&f, LB_SEC);
   cr_assert_eq (f.n_cancelled, 0);
-  advance_and_tick (&f, 5 * LB_SEC);
+  advance_time_and_tick_batch (&f, 5 * LB_SEC);
   cr_assert_eq (f.n_cancelled, 2);
   cr_assert_eq (f.n_written, 1,
                 "the first write must hold only the results that were ready when it started");
-  finish_store_write (&f, true);
-  finish_store_write (&f, true);
+  finish_result_write (&f, true);
+  finish_result_write (&f, true);
   cr_assert (lc_batch_has_stored_all_results (f.batch));
   fixture_clear (&f);
 }
@@ -350,7 +350,7 @@
   cr_assert_eq (f.generating[3], 0);
   cr_assert_neq (f.generating[1], 0);
   cr_assert_eq (f.resume_at[2], 3);
-  add_piece (&f, 1, 5, "z");
+  add_streamed_event (&f, 1, 5, "z");
   finish_generation (&f, 1, LB_OK);
   cr_assert_eq (f.first_position, 2);
   fixture_clear (&f);
@@ -363,14 +363,14 @@
   fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true });
   start_batch (&f);
   for (int i = 0; i < 9; i++)
-    add_piece (&f, 0, 4, "w");
-  advance_and_tick (&f, 2 * LB_SEC);
+    add_streamed_event (&f, 0, 4, "w");
+  advance_time_and_tick_batch (&f, 2 * LB_SEC);
   cr_assert_eq (f.n_parts, 1);
   cr_assert_eq (f.part_events, 9);
   cr_assert_str_eq (f.part_text, "w\nw\nw\nw\nw\nw\nw\nw\nw");
   f.n_parts = 0;
   lc_batch_finish_checkpoint (f.batch, true);
-  advance_and_tick (&f, 2 * LB_SEC);
+  advance_time_and_tick_batch (&f, 2 * LB_SEC);
   cr_assert_eq (f.n_parts, 0, "expected no checkpoint without new events");
   fixture_clear (&f);
 }
@@ -414,7 +414,7 @@
 
 /* Records eight texts of 20 events each, 20 ms apart, in the history. */
 static void
-fill_history (LcBatchHistory *history)
+fill_batch_history (LcBatchHistory *history)
 {
   Fixture f;
 
@@ -426,7 +426,7 @@
       for (int event = 0; event < 20; event++)
         {
           f.now += 20 * LB_MSEC;
-          add_piece (&f, item, 4, "w");
+          add_streamed_event (&f, item, 4, "w");
         }
       finish_generation (&f, item, LB_OK);
     }
@@ -443,12 +443,12 @@
 }
 
 static void
-add_pieces_at_interval (Fixture *f, int events, LbTime interval)
+add_streamed_events_at_interval (Fixture *f, int events, LbTime interval)
 {
   for (int event = 0; event < events; event++)
     {
-      advance_and_tick (f, interval);
-      add_piece (f, 0, 4, "w");
+      advance_time_and_tick_batch (f, interval);
+      add_streamed_event (f, 0, 4, "w");
     }
 }
 
@@ -459,9 +459,9 @@
   LcBatchHistory *history = lc_batch_history_new ();
   Fixture f;
 
-  fill_history (history);
+  fill_batch_history (history);
   start_batch_with_history (&f, history);
-  add_pieces_at_interval (&f, 6, 200 * LB_MSEC);
+  add_streamed_events_at_interval (&f, 6, 200 * LB_MSEC);
   cr_assert_eq (f.n_preempted, 1);
   LcRequestId previous = f.generating[0];
   finish_generation (&f, 0, LB_ERROR_CLOSED);
@@ -479,11 +479,11 @@
   LcBatchHistory *history = lc_batch_history_new ();
   Fixture f;
 
-  fill_history (history);
+  fill_batch_history (history);
   start_batch_with_history (&f, history);
-  add_pieces_at_interval (&f, 100, 20 * LB_MSEC);
+  add_streamed_events_at_interval (&f, 100, 20 * LB_MSEC);
   cr_assert_eq (f.n_preempted, 0);
-  add_pieces_at_interval (&f, 12, 80 * LB_MSEC);
+  add_streamed_events_at_interval (&f, 12, 80 * LB_MSEC);
   cr_assert_eq (f.n_preempted, 1);
   fixture_clear (&f);
   lc_batch_history_free (history);
@@ -496,14 +496,14 @@
   LcBatchHistory *history = lc_batch_history_new ();
   Fixture f;
 
-  fill_history (history);
+  fill_batch_history (history);
   start_batch_with_history (&f, history);
-  add_pieces_at_interval (&f, 20, 20 * LB_MSEC);
+  add_streamed_events_at_interval (&f, 20, 20 * LB_MSEC);
   for (int i = 0; i < 3; i++)
-    advance_and_tick (&f, 100 * LB_MSEC);
+    advance_time_and_tick_batch (&f, 100 * LB_MSEC);
   cr_assert_eq (f.n_preempted, 0, "a silence of 300 ms must not move the text");
   for (int i = 0; i < 5; i++)
-    advance_and_tick (&f, 100 * LB_MSEC);
+    advance_time_and_tick_batch (&f, 100 * LB_MSEC);
   cr_assert_eq (f.n_preempted, 1);
   fixture_clear (&f);
   lc_batch_history_free (history);
@@ -516,14 +516,14 @@
   LcBatchHistory *history = lc_batch_history_new ();
   Fixture f;
 
-  fill_history (history);
+  fill_batch_history (history);
   start_batch_with_history (&f, history);
-  add_pieces_at_interval (&f, 20, 20 * LB_MSEC);
-  advance_and_tick (&f, 2 * LB_SEC);
+  add_streamed_events_at_interval (&f, 20, 20 * LB_MSEC);
+  advance_time_and_tick_batch (&f, 2 * LB_SEC);
   for (int event = 0; event < 100; event++)
-    add_piece (&f, 0, 4, "w");
+    add_streamed_event (&f, 0, 4, "w");
   for (int i = 0; i < 3; i++)
-    advance_and_tick (&f, 100 * LB_MSEC);
+    advance_time_and_tick_batch (&f, 100 * LB_MSEC);
   cr_assert_eq (f.n_preempted, 0);
   fixture_clear (&f);
   lc_batch_history_free (history);
@@ -538,10 +538,10 @@
   start_batch (&f);
   finish_generation (&f, 0, LB_ERROR_NO_ENDPOINT);
   lc_batch_stop (f.batch, f.now, &f.actions);
-  record_actions (&f);
+  record_and_free_batch_actions (&f);
   cr_assert_eq (f.n_cancelled, 2);
   memset (f.generating, 0, sizeof f.generating);
-  advance_and_tick (&f, 10 * LB_SEC);
+  advance_time_and_tick_batch (&f, 10 * LB_SEC);
   cr_assert_eq (f.generating[0], 0);
   cr_assert_eq (f.n_writes, 0);
   cr_assert_eq (lc_batch_next_tick_at (f.batch), LB_TIME_NEVER);
@@ -552,7 +552,10 @@
 
 /* Stops the current batch and starts another batch of the model with the same text cache. */
 static void
-start_next_batch (Fixture *f, LcTextCache *cache, LcVersion min_version, size_t n_items)
+start_next_batch_with_text_cache (Fixture *f,
+                                  LcTextCache *cache,
+                                  LcVersion min_version,
+                                  size_t n_items)
 {
   const LcBatchSettings settings = { .max_failures = 3,
                                      .max_score_failures = 3,
@@ -563,7 +566,7 @@
   LcBatchSpec spec = make_batch_spec (n_items, true);
 
   lc_batch_stop (f->batch, f->now, &f->actions);
-  record_actions (f);
+  record_and_free_batch_actions (f);
   lc_batch_free (f->batch);
   memset (f->generating, 0, sizeof f->generating);
   memset (f->scoring, 0, sizeof f->scoring);
@@ -571,11 +574,11 @@
   spec.min_version = min_version;
   f->batch = lc_batch_new (&spec, &settings);
   lc_batch_start (f->batch, f->now, &f->actions);
-  record_actions (f);
+  record_and_free_batch_actions (f);
 }
 
 static void
-add_pieces (Fixture *f, size_t item, int n, LcVersion version)
+add_streamed_events (Fixture *f, size_t item, int n, LcVersion version)
 {
   for (int i = 0; i < n; i++)
     lc_batch_add_streamed_event (f->batch, f->generating[item], version, "engine-1", "x", f->now);
@@ -591,14 +594,14 @@
 
   fixture_init (&f, 3, true, (LcBatchSettings){ .resumable = true, .text_cache = cache });
   start_batch (&f);
-  add_pieces (&f, 0, 5, 6);
-  add_pieces (&f, 1, 2, 6);
+  add_streamed_events (&f, 0, 5, 6);
+  add_streamed_events (&f, 1, 2, 6);
   lc_batch_finish_generation (f.batch, f.generating[1], LB_OK, f.now, &f.actions);
-  record_actions (&f);
+  record_and_free_batch_actions (&f);
   lc_batch_finish_scoring (f.batch, f.scoring[1], LB_OK, "stamp", f.now, &f.actions);
-  record_actions (&f);
+  record_and_free_batch_actions (&f);
   lc_batch_finish_result_write (f.batch, true, f.now, &f.actions);
-  start_next_batch (&f, cache, 5, 3);
+  start_next_batch_with_text_cache (&f, cache, 5, 3);
   cr_assert_eq (f.resume_at[0], 5);
   cr_assert_neq (f.generating[0], 0);
   cr_assert_eq (f.generating[1], 0, "a complete text must not be generated again");
@@ -619,11 +622,11 @@
 
   fixture_init (&f, 2, true, (LcBatchSettings){ .resumable = true, .text_cache = cache });
   start_batch (&f);
-  add_pieces (&f, 0, 3, 5);
-  add_pieces (&f, 0, 40, 6);
+  add_streamed_events (&f, 0, 3, 5);
+  add_streamed_events (&f, 0, 40, 6);
   lc_batch_finish_generation (f.batch, f.generating[0], LB_OK, f.now, &f.actions);
-  record_actions (&f);
-  start_next_batch (&f, cache, 6, 2);
+  record_and_free_batch_actions (&f);
+  start_next_batch_with_text_cache (&f, cache, 6, 2);
   cr_assert_eq (f.resume_at[0], 0);
   cr_assert_gt (f.latest_start[0], f.latest_start[1],
                 "the cached length must replace the longer estimate");
@@ -640,13 +643,13 @@
 
   fixture_init (&f, 1, false, (LcBatchSettings){ .resumable = true, .text_cache = cache });
   start_batch (&f);
-  add_pieces (&f, 0, 3, 6);
+  add_streamed_events (&f, 0, 3, 6);
   lc_batch_finish_generation (f.batch, f.generating[0], LB_OK, f.now, &f.actions);
-  record_actions (&f);
+  record_and_free_batch_actions (&f);
   lc_batch_finish_result_write (f.batch, true, f.now, &f.actions);
   f.now += 5 * LB_SEC;
   lc_batch_stop (f.batch, f.now, &f.actions);
-  record_actions (&f);
+  record_and_free_batch_actions (&f);
   cr_assert_eq (lc_text_cache_count_bytes (cache), 0);
   lc_batch_free (f.batch);
   lc_text_cache_free (cache);
--- a/packages/core/tests/test-breaker.c
+++ b/packages/core/tests/test-breaker.c
@@ -3,7 +3,7 @@
 #include "lc-breaker.h"
 
 static void
-record_failures (LcBreaker *breaker, int n, LbTime now)
+record_request_failures (LcBreaker *breaker, int n, LbTime now)
 {
   for (int i = 0; i < n; i++)
     lc_breaker_request_failed (breaker, now, now);
@@ -16,7 +16,7 @@
   LcBreaker breaker = { 0 };
   LbTime now = LB_SEC;
 
-  record_failures (&breaker, 5, now);
+  record_request_failures (&breaker, 5, now);
   cr_assert_eq (lc_breaker_max_in_flight (&breaker, now), 0);
   now = breaker.open_until;
   cr_assert_eq (lc_breaker_max_in_flight (&breaker, now), 1);
@@ -37,7 +37,7 @@
   LbTime now = LB_SEC;
   LbTime last_open_time = 0;
 
-  record_failures (&breaker, 5, now);
+  record_request_failures (&breaker, 5, now);
   for (int i = 0; i < 4; i++)
     {
       cr_assert_gt (breaker.open_until - now, last_open_time);
@@ -57,7 +57,7 @@
   LcBreaker breaker = { 0 };
   LbTime now = LB_SEC;
 
-  record_failures (&breaker, 5, now);
+  record_request_failures (&breaker, 5, now);
 
   LbTime first_trial_at = breaker.open_until;
 
@@ -87,7 +87,7 @@
   Fixture f;
 
   fixture_init (&f, 1);
-  fixture_record_report (&f, "e0", "a", 1, 1);
+  fixture_record_load_report (&f, "e0", "a", 1, 1);
 
   LcEndpoint *endpoint = fixture_find_endpoint (&f, "e0");
 
@@ -97,8 +97,8 @@
       lc_endpoint_request_ended (endpoint, LC_KIND_LIVE, false, 0, 1, 3);
     }
   cr_assert_eq (endpoint->breaker, LC_BREAKER_OPEN);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 4));
-  fixture_record_report (&f, "e0", "b", 1, 10);
-  cr_assert (fixture_can_accept_live_call (&f, "e0", 11));
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 4));
+  fixture_record_load_report (&f, "e0", "b", 1, 10);
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "e0", 11));
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-carried.c
+++ b/packages/core/tests/test-carried.c
@@ -34,8 +34,8 @@
   lc_text_cache_free (cache);
 }
 
-/* Another trainer may use the same id for a different item and must not get the cached text of this
- * one. */
+/* Two trainers may use the same id for different items. Neither may get the cached text of the
+ * other trainer's item. */
 Test (text_cache, does_not_find_another_fingerprint_or_an_older_version)
 {
   LcTextCache *cache = lc_text_cache_new (1 << 20);
--- a/packages/core/tests/test-catalog.c
+++ b/packages/core/tests/test-catalog.c
@@ -1,3 +1,4 @@
+/* Simulates instances, endpoints and the store in virtual time, with faults drawn from a seed. */
 #include "lc-catalog.h"
 #include "lc-registration.h"
 
@@ -9,8 +10,6 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Simulates instances, endpoints and the store in virtual time, with faults drawn from a seed. */
-
 #define TIME_STEP (10 * LB_MSEC)
 #define STEPS_PER_TICK 5
 #define STEPS_PER_RANK_UPDATE 200 /* delay until health checks change the takeover ranks */
@@ -96,19 +95,19 @@
 }
 
 static LbTime
-draw_latency (World *w)
+draw_store_latency (World *w)
 {
   return 2 * LB_MSEC + (LbTime)(draw_uniform_fraction (w) * 8 * LB_MSEC);
 }
 
 static bool
-is_cut_off_from_store (const World *w, const Instance *instance)
+is_instance_cut_off_from_store (const World *w, const Instance *instance)
 {
   return w->now < instance->cut_off_until || w->now < w->outage_until;
 }
 
 static bool
-is_paused (const World *w, const Instance *instance)
+is_instance_paused (const World *w, const Instance *instance)
 {
   return w->now < instance->paused_until;
 }
@@ -124,7 +123,7 @@
 static void
 start_store_call (World *w, Call *call)
 {
-  call->arrives_at = w->now + draw_latency (w);
+  call->arrives_at = w->now + draw_store_latency (w);
   call->answers_at = LB_TIME_NEVER;
   call->abandoned_at = w->now + CALL_TIMEOUT;
 }
@@ -191,7 +190,7 @@
 /* --- the store --- */
 
 static Row *
-find_row (World *w, const char *key)
+find_table_row (World *w, const char *key)
 {
   for (size_t i = 0; i < w->n_rows; i++)
     if (strcmp (w->rows[i].key, key) == 0)
@@ -200,9 +199,9 @@
 }
 
 static void
-put_row (World *w, const LcCatalogPut *put)
+put_table_row (World *w, const LcCatalogPut *put)
 {
-  Row *row = find_row (w, put->key);
+  Row *row = find_table_row (w, put->key);
 
   if (!row)
     {
@@ -216,9 +215,9 @@
 }
 
 static void
-apply_write_to_table (World *w, Call *call)
+apply_write_call_to_table (World *w, Call *call)
 {
-  const Row *row = find_row (w, lc_catalog_publisher_key ());
+  const Row *row = find_table_row (w, lc_catalog_publisher_key ());
   int64_t version = row && row->value ? row->version : 0;
 
   call->ok = version == call->write.expected_version;
@@ -226,7 +225,7 @@
     return;
   w->version++;
   for (size_t i = 0; i < call->write.n_puts; i++)
-    put_row (w, &call->write.puts[i]);
+    put_table_row (w, &call->write.puts[i]);
 }
 
 static void
@@ -244,7 +243,7 @@
 /* --- an instance --- */
 
 static void
-replace_snapshot (
+replace_snapshot_if_newer (
     World *w, Instance *instance, const LcRegistration *list, size_t n, LbTime valid_at)
 {
   (void)w;
@@ -273,7 +272,7 @@
 } Snapshot;
 
 static void
-append_snapshot_row (const char *name, const char *text, int64_t version, void *user)
+append_row_to_snapshot (const char *name, const char *text, int64_t version, void *user)
 {
   (void)version;
   Snapshot *snapshot = user;
@@ -284,25 +283,25 @@
 }
 
 static size_t
-read_snapshot (const LcCatalog *catalog, Snapshot *snapshot)
+read_catalog_snapshot (const LcCatalog *catalog, Snapshot *snapshot)
 {
   snapshot->n = 0;
-  lc_catalog_foreach_row (catalog, "e:", append_snapshot_row, snapshot);
+  lc_catalog_foreach_row (catalog, "e:", append_row_to_snapshot, snapshot);
   return snapshot->n;
 }
 
 static void
-finish_list_call (World *w, Instance *instance)
+apply_list_answer_to_instance (World *w, Instance *instance)
 {
   Call *call = &instance->list;
 
   set_catalog_listing (instance->catalog, call->list, call->n_list, call->store_ms);
-  replace_snapshot (w, instance, call->list, call->n_list, call->store_ms * LB_MSEC);
+  replace_snapshot_if_newer (w, instance, call->list, call->n_list, call->store_ms * LB_MSEC);
   instance->n_listings++;
 }
 
 static void
-finish_feed_call (World *w, Instance *instance)
+apply_feed_answer_to_instance (World *w, Instance *instance)
 {
   Call *call = &instance->feed;
   bool is_base = call->from_version == 0;
@@ -322,26 +321,26 @@
   if (!lc_catalog_finish_update (instance->catalog, call->store_ms, w->now))
     return;
   static Snapshot snapshot;
-  read_snapshot (instance->catalog, &snapshot);
-  replace_snapshot (w, instance, snapshot.list, snapshot.n,
-                    lc_catalog_snapshot_valid_at (instance->catalog));
+  read_catalog_snapshot (instance->catalog, &snapshot);
+  replace_snapshot_if_newer (w, instance, snapshot.list, snapshot.n,
+                             lc_catalog_snapshot_valid_at (instance->catalog));
 }
 
 /* Returns true if the table was written after the answer left the store. The simulation reads the
  * table only when an answer arrives, so such an answer would hold later rows and must be requested
  * again. */
 static bool
-is_answer_outdated (const World *w, const Call *call)
+is_feed_answer_outdated (const World *w, const Call *call)
 {
   return call->to_version < w->version;
 }
 
 static void
-advance_feed_call (World *w, Instance *instance)
+carry_out_and_answer_feed_call_if_due (World *w, Instance *instance)
 {
   Call *call = &instance->feed;
 
-  if (call->arrives_at == 0 || is_cut_off_from_store (w, instance))
+  if (call->arrives_at == 0 || is_instance_cut_off_from_store (w, instance))
     return;
   if (call->answers_at == LB_TIME_NEVER && w->now >= call->arrives_at
       && (call->from_version == 0 || w->version > call->from_version
@@ -349,54 +348,58 @@
     {
       call->to_version = w->version;
       call->store_ms = w->now / LB_MSEC;
-      call->answers_at = w->now + draw_latency (w);
+      call->answers_at = w->now + draw_store_latency (w);
     }
-  if (w->now < call->answers_at || is_paused (w, instance))
+  if (w->now < call->answers_at || is_instance_paused (w, instance))
     return;
-  if (!is_answer_outdated (w, call))
-    finish_feed_call (w, instance);
+  if (!is_feed_answer_outdated (w, call))
+    apply_feed_answer_to_instance (w, instance);
   clear_store_call (call);
 }
 
 static void
-advance_list_call (World *w, Instance *instance)
+carry_out_and_answer_list_call_if_due (World *w, Instance *instance)
 {
   Call *call = &instance->list;
 
   if (call->arrives_at == 0)
     return;
-  if (!call->is_carried_out && w->now >= call->arrives_at && !is_cut_off_from_store (w, instance))
+  if (!call->is_carried_out && w->now >= call->arrives_at
+      && !is_instance_cut_off_from_store (w, instance))
     {
       read_endpoints_for_list (w, call);
       call->is_carried_out = true;
-      call->answers_at = w->now + draw_latency (w);
+      call->answers_at = w->now + draw_store_latency (w);
     }
-  if (is_paused (w, instance))
+  if (is_instance_paused (w, instance))
     return;
-  if (call->is_carried_out && w->now >= call->answers_at && !is_cut_off_from_store (w, instance))
-    finish_list_call (w, instance);
+  if (call->is_carried_out && w->now >= call->answers_at
+      && !is_instance_cut_off_from_store (w, instance))
+    apply_list_answer_to_instance (w, instance);
   else if (w->now < call->abandoned_at)
     return;
   clear_store_call (call);
 }
 
-/* Advances a write call. The store may carry out a write after the caller abandoned it, and the
- * answer may be lost. */
+/* Simulates the write call of the instance: its arrival at the store, and its answer or timeout at
+ * the instance. The store may carry out a write that the instance has abandoned, and the answer may
+ * be lost. */
 static void
-advance_write_call (World *w, Instance *instance)
+carry_out_and_answer_write_call_if_due (World *w, Instance *instance)
 {
   Call *call = &instance->write;
 
   if (call->arrives_at == 0)
     return;
-  if (!call->is_carried_out && w->now >= call->arrives_at && !is_cut_off_from_store (w, instance))
+  if (!call->is_carried_out && w->now >= call->arrives_at
+      && !is_instance_cut_off_from_store (w, instance))
     {
-      apply_write_to_table (w, call);
+      apply_write_call_to_table (w, call);
       call->is_carried_out = true;
       call->answers_at
-          = draw_uniform_fraction (w) < 0.02 ? LB_TIME_NEVER : w->now + draw_latency (w);
+          = draw_uniform_fraction (w) < 0.02 ? LB_TIME_NEVER : w->now + draw_store_latency (w);
     }
-  if (is_paused (w, instance))
+  if (is_instance_paused (w, instance))
     return;
   if (w->now < call->answers_at && w->now < call->abandoned_at)
     return;
@@ -406,7 +409,7 @@
 }
 
 static void
-tick_instance (World *w, Instance *instance)
+start_due_store_calls_of_instance (World *w, Instance *instance)
 {
   LcCatalogWrite write;
 
@@ -432,9 +435,9 @@
 }
 
 static bool
-is_healthy (const World *w, const Instance *instance)
+is_instance_healthy (const World *w, const Instance *instance)
 {
-  return w->now >= instance->cut_off_until + LB_SEC && !is_paused (w, instance);
+  return w->now >= instance->cut_off_until + LB_SEC && !is_instance_paused (w, instance);
 }
 
 /* Numbers the healthy instances other than the publisher by index. The first three get takeover
@@ -450,10 +453,10 @@
     {
       char name[16];
       snprintf (name, sizeof name, "i-%zu", i);
-      rank += is_healthy (w, &w->instances[i]) && strcmp (name, publisher) != 0;
+      rank += is_instance_healthy (w, &w->instances[i]) && strcmp (name, publisher) != 0;
     }
   lc_catalog_set_takeover_rank (instance->catalog,
-                                is_healthy (w, instance) && rank < 3 ? rank : -1);
+                                is_instance_healthy (w, instance) && rank < 3 ? rank : -1);
 }
 
 static void
@@ -464,14 +467,14 @@
 }
 
 static void
-reset_contact_start_if_out_of_contact (World *w, Instance *instance)
+reset_store_contact_start_if_paused_or_cut_off (World *w, Instance *instance)
 {
-  if (is_cut_off_from_store (w, instance) || is_paused (w, instance))
+  if (is_instance_cut_off_from_store (w, instance) || is_instance_paused (w, instance))
     instance->in_contact_since = w->now;
 }
 
 static bool
-sees_endpoint_leaving (const Instance *instance, const char *name)
+is_endpoint_leaving_in_snapshot (const Instance *instance, const char *name)
 {
   for (size_t i = 0; i < instance->n_snapshot; i++)
     if (strcmp (instance->snapshot[i].name, name) == 0)
@@ -482,7 +485,7 @@
 /* Asserts that an instance in contact with the store sends no new work to an endpoint that has been
  * leaving for longer than MAX_LEAVING_DELAY. */
 static void
-assert_leaving_endpoints_are_seen (World *w, const Instance *instance, unsigned long seed)
+assert_snapshot_shows_leaving_endpoints (World *w, const Instance *instance, unsigned long seed)
 {
   for (size_t i = 0; i < w->n_endpoints; i++)
     {
@@ -492,14 +495,14 @@
                                  : instance->in_contact_since;
       if ((endpoint->registration.leaving || !endpoint->exists)
           && w->now - visible_since > MAX_LEAVING_DELAY)
-        cr_assert (sees_endpoint_leaving (instance, endpoint->registration.name),
+        cr_assert (is_endpoint_leaving_in_snapshot (instance, endpoint->registration.name),
                    "seed %lu: %s is not seen as leaving after %lld ms", seed,
                    endpoint->registration.name, (long long)((w->now - visible_since) / LB_MSEC));
     }
 }
 
 static void
-advance_world_one_step (World *w, unsigned long seed)
+simulate_one_time_step (World *w, unsigned long seed)
 {
   w->now += TIME_STEP;
   if ((w->now / TIME_STEP) % STEPS_PER_RANK_UPDATE == 0)
@@ -507,26 +510,27 @@
   for (size_t i = 0; i < w->n_instances; i++)
     {
       Instance *instance = &w->instances[i];
-      reset_contact_start_if_out_of_contact (w, instance);
-      advance_write_call (w, instance);
-      advance_list_call (w, instance);
-      advance_feed_call (w, instance);
-      if ((w->now / TIME_STEP + (LbTime)i) % STEPS_PER_TICK == 0 && !is_paused (w, instance))
-        tick_instance (w, instance);
-      if ((w->now / TIME_STEP + (LbTime)i) % 10 == 0 && !is_paused (w, instance))
-        assert_leaving_endpoints_are_seen (w, instance, seed);
+      reset_store_contact_start_if_paused_or_cut_off (w, instance);
+      carry_out_and_answer_write_call_if_due (w, instance);
+      carry_out_and_answer_list_call_if_due (w, instance);
+      carry_out_and_answer_feed_call_if_due (w, instance);
+      if ((w->now / TIME_STEP + (LbTime)i) % STEPS_PER_TICK == 0
+          && !is_instance_paused (w, instance))
+        start_due_store_calls_of_instance (w, instance);
+      if ((w->now / TIME_STEP + (LbTime)i) % 10 == 0 && !is_instance_paused (w, instance))
+        assert_snapshot_shows_leaving_endpoints (w, instance, seed);
     }
 }
 
 static void
-run_world_for (World *w, LbTime time, unsigned long seed)
+run_simulation_for (World *w, LbTime time, unsigned long seed)
 {
   for (LbTime end = w->now + time; w->now < end;)
-    advance_world_one_step (w, seed);
+    simulate_one_time_step (w, seed);
 }
 
 static void
-change_random_endpoint (World *w)
+toggle_random_endpoint_state (World *w)
 {
   Endpoint *endpoint = &w->endpoints[gsl_rng_uniform_int (w->rng, w->n_endpoints)];
 
@@ -558,7 +562,7 @@
 }
 
 static void
-check_snapshots_match_store (const World *w, unsigned long seed)
+assert_snapshots_match_store (const World *w, unsigned long seed)
 {
   for (size_t i = 0; i < w->n_instances; i++)
     {
@@ -570,7 +574,8 @@
                     seed, i, instance->n_snapshot, n);
       for (size_t k = 0; k < w->n_endpoints; k++)
         if (w->endpoints[k].exists)
-          cr_assert_eq (sees_endpoint_leaving (instance, w->endpoints[k].registration.name),
+          cr_assert_eq (is_endpoint_leaving_in_snapshot (instance,
+                                                         w->endpoints[k].registration.name),
                         w->endpoints[k].registration.leaving,
                         "seed %lu: instance %zu has the wrong leaving state for endpoint %zu", seed,
                         i, k);
@@ -578,23 +583,23 @@
 }
 
 static void
-run_random_scenario (size_t n_instances, size_t n_endpoints, LbTime time, unsigned long seed)
+run_random_fault_scenario (size_t n_instances, size_t n_endpoints, LbTime time, unsigned long seed)
 {
   World *w = LB_NEW (World);
 
   world_init (w, n_instances, n_endpoints, seed);
   for (LbTime end = w->now + time; w->now < end;)
     {
-      run_world_for (w, (LbTime)(draw_uniform_fraction (w) * LB_SEC), seed);
+      run_simulation_for (w, (LbTime)(draw_uniform_fraction (w) * LB_SEC), seed);
       if (draw_uniform_fraction (w) < 0.5)
         inject_random_fault (w);
-      change_random_endpoint (w);
+      toggle_random_endpoint_state (w);
     }
   for (size_t i = 0; i < w->n_instances; i++)
     w->instances[i].cut_off_until = w->instances[i].paused_until = 0;
   w->outage_until = 0;
-  run_world_for (w, 2 * LB_SEC, seed);
-  check_snapshots_match_store (w, seed);
+  run_simulation_for (w, 2 * LB_SEC, seed);
+  assert_snapshots_match_store (w, seed);
   world_clear (w);
   free (w);
 }
@@ -609,12 +614,12 @@
   unsigned long n = seeds ? strtoul (seeds, NULL, 10) : 12;
 
   for (unsigned long seed = 0; seed < n; seed++)
-    run_random_scenario (30, seed % 5 == 0 ? 240 : 20, 20 * LB_SEC, seed);
+    run_random_fault_scenario (30, seed % 5 == 0 ? 240 : 20, 20 * LB_SEC, seed);
 }
 
 Test (catalog, snapshots_match_the_store_with_three_hundred_instances, .timeout = 300)
 {
-  run_random_scenario (300, 60, 15 * LB_SEC, 7);
+  run_random_fault_scenario (300, 60, 15 * LB_SEC, 7);
 }
 
 /* Guards against followers that list rows although nothing changes. Without the catalog, 300
@@ -625,10 +630,10 @@
   World *w = LB_NEW (World);
 
   world_init (w, 300, 60, 1);
-  run_world_for (w, 5 * LB_SEC, 1);
+  run_simulation_for (w, 5 * LB_SEC, 1);
   w->n_listed_rows = 0;
   w->n_feed_rows = 0;
-  run_world_for (w, 10 * LB_SEC, 1);
+  run_simulation_for (w, 10 * LB_SEC, 1);
   cr_assert_leq (w->n_listed_rows, 30 * 60, "%lld rows listed in 10 s, at most 1800 expected",
                  (long long)w->n_listed_rows);
   cr_assert_leq (w->n_feed_rows, 300 * 30,
@@ -646,12 +651,12 @@
   int64_t before = 0;
 
   world_init (w, 100, 40, 3);
-  run_world_for (w, 5 * LB_SEC, 3);
+  run_simulation_for (w, 5 * LB_SEC, 3);
   cr_assert (lc_catalog_is_publisher (w->instances[0].catalog));
   w->instances[0].paused_until = w->now + 10 * LB_SEC;
   for (size_t i = 4; i < w->n_instances; i++)
     before += w->instances[i].n_listings;
-  run_world_for (w, 3 * LB_SEC, 3);
+  run_simulation_for (w, 3 * LB_SEC, 3);
   for (size_t i = 4; i < w->n_instances; i++)
     before -= w->instances[i].n_listings;
   cr_assert_eq (before, 0, "followers listed the rows %lld times, expected none",
@@ -697,7 +702,7 @@
   lc_catalog_apply_row (catalog, "e:s-2", REGISTRATION ("s-2"), 3);
   lc_catalog_apply_row (catalog, "publisher", PUBLISHER_ROW ("5000", "true"), 3);
   cr_assert (lc_catalog_finish_update (catalog, 5020, LB_SEC));
-  cr_assert_eq (read_snapshot (catalog, &snapshot), 2);
+  cr_assert_eq (read_catalog_snapshot (catalog, &snapshot), 2);
   cr_assert_eq (lc_catalog_snapshot_valid_at (catalog), LB_SEC - 20 * LB_MSEC);
   lc_catalog_free (catalog);
 }
@@ -718,7 +723,7 @@
   lc_catalog_apply_row (catalog, "e:s-2", REGISTRATION ("s-2"), 2);
   lc_catalog_apply_row (catalog, "publisher", PUBLISHER_ROW ("6000", "true"), 9);
   cr_assert (lc_catalog_finish_update (catalog, 6000, 2 * LB_SEC));
-  cr_assert_eq (read_snapshot (catalog, &snapshot), 1);
+  cr_assert_eq (read_catalog_snapshot (catalog, &snapshot), 1);
   cr_assert_str_eq (snapshot.list[0].name, "s-2");
   lc_catalog_free (catalog);
 }
--- a/packages/core/tests/test-concurrency.c
+++ b/packages/core/tests/test-concurrency.c
@@ -5,7 +5,7 @@
 #define MAX_CONCURRENCY 32
 
 static LcConcurrency
-new_concurrency (double min_first_byte_seconds)
+make_concurrency_limit_after_first_byte (double min_first_byte_seconds)
 {
   LcConcurrency concurrency;
 
@@ -18,7 +18,7 @@
  * and live calls wait behind samples. The limit must decrease until first bytes are fast again. */
 Test (concurrency, limit_decreases_while_first_bytes_are_slow)
 {
-  LcConcurrency concurrency = new_concurrency (0.05);
+  LcConcurrency concurrency = make_concurrency_limit_after_first_byte (0.05);
   LbTime now = LB_SEC;
 
   for (int second = 2; second < 30; second++)
@@ -37,7 +37,7 @@
  * would fall to 1 and the engine would be nearly idle. */
 Test (concurrency, limit_decreases_once_for_concurrent_slow_requests)
 {
-  LcConcurrency concurrency = new_concurrency (0.05);
+  LcConcurrency concurrency = make_concurrency_limit_after_first_byte (0.05);
 
   for (int i = 0; i < MAX_CONCURRENCY; i++)
     lc_concurrency_first_byte_received (&concurrency, 3, MAX_CONCURRENCY, 2 * LB_SEC + i);
@@ -46,7 +46,7 @@
 
 Test (concurrency, limit_recovers_to_the_declared_size_and_no_further)
 {
-  LcConcurrency concurrency = new_concurrency (0.05);
+  LcConcurrency concurrency = make_concurrency_limit_after_first_byte (0.05);
 
   for (int second = 2; second < 12; second++)
     lc_concurrency_request_failed (&concurrency, second * LB_SEC);
@@ -61,7 +61,7 @@
 /* Fast first bytes at an idle endpoint do not show that it can process more requests at once. */
 Test (concurrency, limit_does_not_increase_while_unused)
 {
-  LcConcurrency concurrency = new_concurrency (0.05);
+  LcConcurrency concurrency = make_concurrency_limit_after_first_byte (0.05);
   double decreased_limit = 0;
 
   lc_concurrency_request_failed (&concurrency, 2 * LB_SEC);
--- a/packages/core/tests/test-config.c
+++ b/packages/core/tests/test-config.c
@@ -26,7 +26,7 @@
 }
 
 static void
-free_pending_actions (void)
+free_pending_config_actions (void)
 {
   LbLink *link;
 
@@ -37,14 +37,14 @@
 static void
 free_config (void)
 {
-  free_pending_actions ();
+  free_pending_config_actions ();
   lc_config_free (config);
 }
 
 TestSuite (config, .init = create_config, .fini = free_config);
 
 static LcResourceSet *
-make_empty_set (int64_t revision)
+make_empty_resource_set (int64_t revision)
 {
   LcResourceSet *set = LB_NEW (LcResourceSet);
 
@@ -55,7 +55,7 @@
 /* Reports n peers i2, i3, ... as members. Peers with an index below first_dead are alive, the
  * others dead. */
 static void
-update_members (int n, int first_dead)
+report_peers_as_members (int n, int first_dead)
 {
   static const char *const names[] = { "i2", "i3", "i4", "i5" };
   LcConfigMember members[4];
@@ -66,50 +66,51 @@
 }
 
 static void
-receive_message (const char *from, LcConfigMessage message)
+receive_message_from_peer (const char *from, LcConfigMessage message)
 {
   lc_config_message_received (config, from, &message, now, &actions);
 }
 
 static void
-receive_status (const char *from, int64_t revision, LbTime asked_at)
+receive_status_from_peer (const char *from, int64_t revision, LbTime asked_at)
 {
-  receive_message (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
-                                            .revision = revision,
-                                            .asked_at = asked_at,
-                                            .age = -1,
-                                            .confirmed = true });
+  receive_message_from_peer (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
+                                                      .revision = revision,
+                                                      .asked_at = asked_at,
+                                                      .age = -1,
+                                                      .confirmed = true });
 }
 
 static void
-receive_snapshot (const char *from, int64_t revision)
+receive_snapshot_from_peer (const char *from, int64_t revision)
 {
-  LcResourceSet *set = make_empty_set (revision);
+  LcResourceSet *set = make_empty_resource_set (revision);
 
-  receive_message (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_SNAPSHOT,
-                                            .revision = revision,
-                                            .body = lc_resource_set_to_json (set) });
+  receive_message_from_peer (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_SNAPSHOT,
+                                                      .revision = revision,
+                                                      .body = lc_resource_set_to_json (set) });
   lc_resource_set_free (set);
 }
 
 static void
-complete_store_read (int64_t revision)
+complete_store_read_with_revision (int64_t revision)
 {
   bool newer = revision > lc_config_active_revision (config);
 
-  lc_config_store_read_completed (config, revision, newer ? make_empty_set (revision) : NULL, now,
-                                  now, &actions);
+  lc_config_store_read_completed (config, revision,
+                                  newer ? make_empty_resource_set (revision) : NULL, now, now,
+                                  &actions);
 }
 
 static void
-advance_and_tick (LbTime duration)
+advance_time_and_tick_config (LbTime duration)
 {
   now += duration;
   lc_config_tick (config, now, &actions);
 }
 
 static size_t
-count_sent_messages (const char *to, LcConfigMessageType type)
+count_messages_sent_to_peer (const char *to, LcConfigMessageType type)
 {
   size_t n = 0;
 
@@ -122,23 +123,24 @@
 }
 
 static void
-make_config_ready (int64_t revision)
+make_config_ready_at_revision (int64_t revision)
 {
-  complete_store_read (revision);
+  complete_store_read_with_revision (revision);
   now += LB_SEC;
-  complete_store_read (revision);
+  complete_store_read_with_revision (revision);
   cr_assert (lc_config_is_ready_for_new_work (config));
 }
 
 Test (config, pushed_change_is_applied_and_acknowledged)
 {
-  make_config_ready (4);
+  make_config_ready_at_revision (4);
   struct json_object *change = json_tokener_parse ("{\"apply\": []}");
-  receive_message ("i2", (LcConfigMessage){
-                             .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 5, .body = change });
+  receive_message_from_peer ("i2", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE,
+                                                      .revision = 5,
+                                                      .body = change });
 
   cr_assert_eq (lc_config_active_revision (config), 5);
-  cr_assert_eq (count_sent_messages ("i2", LC_CONFIG_MESSAGE_STATUS), 1);
+  cr_assert_eq (count_messages_sent_to_peer ("i2", LC_CONFIG_MESSAGE_STATUS), 1);
   json_object_put (change);
 }
 
@@ -146,12 +148,13 @@
  * routed by revision 5 again after operators saw 6 active. */
 Test (config, delayed_push_of_an_old_revision_is_ignored)
 {
-  make_config_ready (4);
-  receive_snapshot ("i2", 6);
+  make_config_ready_at_revision (4);
+  receive_snapshot_from_peer ("i2", 6);
   struct json_object *change = json_tokener_parse ("{\"apply\": []}");
-  receive_message ("i2", (LcConfigMessage){
-                             .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 5, .body = change });
-  receive_snapshot ("i3", 5);
+  receive_message_from_peer ("i2", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE,
+                                                      .revision = 5,
+                                                      .body = change });
+  receive_snapshot_from_peer ("i3", 5);
 
   cr_assert_eq (lc_config_active_revision (config), 6);
   json_object_put (change);
@@ -161,12 +164,12 @@
  * must neither activate 5 nor count as a confirmation. */
 Test (config, stale_store_read_neither_reverts_nor_confirms)
 {
-  update_members (2, 2);
-  make_config_ready (6);
+  report_peers_as_members (2, 2);
+  make_config_ready_at_revision (6);
   for (int i = 0; i < 10; i++)
     {
-      advance_and_tick (LB_SEC);
-      lc_config_store_read_completed (config, 5, make_empty_set (5), now, now, &actions);
+      advance_time_and_tick_config (LB_SEC);
+      lc_config_store_read_completed (config, 5, make_empty_resource_set (5), now, now, &actions);
     }
 
   cr_assert_eq (lc_config_active_revision (config), 6);
@@ -177,13 +180,14 @@
  * sender. */
 Test (config, lost_push_makes_instance_fetch_the_whole_set)
 {
-  make_config_ready (4);
+  make_config_ready_at_revision (4);
   struct json_object *change = json_tokener_parse ("{\"apply\": []}");
-  receive_message ("i2", (LcConfigMessage){
-                             .type = LC_CONFIG_MESSAGE_CHANGE, .revision = 6, .body = change });
+  receive_message_from_peer ("i2", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_CHANGE,
+                                                      .revision = 6,
+                                                      .body = change });
   cr_assert_eq (lc_config_active_revision (config), 4);
-  cr_assert_eq (count_sent_messages ("i2", LC_CONFIG_MESSAGE_FETCH), 1);
-  receive_snapshot ("i2", 6);
+  cr_assert_eq (count_messages_sent_to_peer ("i2", LC_CONFIG_MESSAGE_FETCH), 1);
+  receive_snapshot_from_peer ("i2", 6);
 
   cr_assert_eq (lc_config_active_revision (config), 6);
   json_object_put (change);
@@ -195,19 +199,19 @@
 Test (config, new_instance_without_store_waits_for_a_majority_of_peers)
 {
   lc_config_store_read_failed (config, now, &actions);
-  advance_and_tick (LB_SEC);
+  advance_time_and_tick_config (LB_SEC);
   cr_assert_not (lc_config_is_ready_for_new_work (config));
-  update_members (3, 3);
-  cr_assert_eq (count_sent_messages ("i2", LC_CONFIG_MESSAGE_QUERY), 1);
+  report_peers_as_members (3, 3);
+  cr_assert_eq (count_messages_sent_to_peer ("i2", LC_CONFIG_MESSAGE_QUERY), 1);
   LbTime asked_at = now;
   now += LB_MSEC;
-  receive_status ("i2", 4, asked_at);
-  receive_snapshot ("i2", 4);
+  receive_status_from_peer ("i2", 4, asked_at);
+  receive_snapshot_from_peer ("i2", 4);
   cr_assert_not (lc_config_is_ready_for_new_work (config));
-  receive_status ("i3", 5, asked_at);
+  receive_status_from_peer ("i3", 5, asked_at);
   cr_assert_not (lc_config_is_ready_for_new_work (config),
                  "must not be ready before the newer revision 5 of i3 is active");
-  receive_snapshot ("i3", 5);
+  receive_snapshot_from_peer ("i3", 5);
 
   cr_assert (lc_config_is_ready_for_new_work (config));
   cr_assert_eq (lc_config_active_revision (config), 5);
@@ -218,14 +222,14 @@
  * activated 5. */
 Test (config, new_instance_with_a_stale_read_waits_for_its_peers)
 {
-  update_members (2, 2);
-  complete_store_read (4);
-  receive_status ("i2", 5, now);
+  report_peers_as_members (2, 2);
+  complete_store_read_with_revision (4);
+  receive_status_from_peer ("i2", 5, now);
   now += LB_SEC;
-  complete_store_read (4);
+  complete_store_read_with_revision (4);
   cr_assert_not (lc_config_is_ready_for_new_work (config));
-  receive_snapshot ("i2", 5);
-  complete_store_read (5);
+  receive_snapshot_from_peer ("i2", 5);
+  complete_store_read_with_revision (5);
 
   cr_assert (lc_config_is_ready_for_new_work (config));
 }
@@ -234,13 +238,13 @@
  * must stop accepting work instead of using the old revision for as long as the partition lasts. */
 Test (config, isolated_instance_stops_accepting_work)
 {
-  update_members (2, 2);
-  make_config_ready (4);
-  update_members (0, 0);
+  report_peers_as_members (2, 2);
+  make_config_ready_at_revision (4);
+  report_peers_as_members (0, 0);
   for (int i = 0; i < 18; i++)
-    advance_and_tick (LB_SEC / 2);
+    advance_time_and_tick_config (LB_SEC / 2);
   cr_assert_not (lc_config_is_ready_for_new_work (config));
-  complete_store_read (5);
+  complete_store_read_with_revision (5);
 
   cr_assert (lc_config_is_ready_for_new_work (config));
 }
@@ -249,15 +253,15 @@
  * that reach a majority must keep serving. */
 Test (config, store_outage_does_not_stop_a_majority)
 {
-  update_members (4, 4);
-  make_config_ready (4);
+  report_peers_as_members (4, 4);
+  make_config_ready_at_revision (4);
   for (int i = 0; i < 120; i++)
     {
-      advance_and_tick (LB_SEC / 2);
+      advance_time_and_tick_config (LB_SEC / 2);
       LbTime asked_at = now;
       now += LB_MSEC;
-      receive_status ("i2", 4, asked_at);
-      receive_status ("i3", 4, asked_at);
+      receive_status_from_peer ("i2", 4, asked_at);
+      receive_status_from_peer ("i3", 4, asked_at);
       cr_assert (lc_config_is_ready_for_new_work (config),
                  "must stay ready with a majority, but was not after %d s", i / 2);
     }
@@ -267,45 +271,45 @@
  * other three, but the two must not count as a majority. */
 Test (config, unreachable_instances_still_count_for_the_majority)
 {
-  update_members (4, 4);
-  make_config_ready (4);
-  update_members (1, 1);
+  report_peers_as_members (4, 4);
+  make_config_ready_at_revision (4);
+  report_peers_as_members (1, 1);
   for (int i = 0; i < 20; i++)
     {
-      advance_and_tick (LB_SEC / 2);
-      receive_status ("i2", 4, now);
+      advance_time_and_tick_config (LB_SEC / 2);
+      receive_status_from_peer ("i2", 4, now);
     }
   cr_assert_not (lc_config_is_ready_for_new_work (config));
   lc_config_remove_instance (config, "i4");
   lc_config_remove_instance (config, "i5");
-  advance_and_tick (LB_SEC / 2);
+  advance_time_and_tick_config (LB_SEC / 2);
 
   cr_assert (lc_config_is_ready_for_new_work (config),
              "must be ready as a majority of the three instances that remain");
 }
 
 static void
-receive_announced_change (const char *from, int64_t announced_change)
+receive_query_with_announced_change (const char *from, int64_t announced_change)
 {
-  receive_message (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_QUERY,
-                                            .revision = 4,
-                                            .asked_at = now,
-                                            .age = -1,
-                                            .announced_change = announced_change });
+  receive_message_from_peer (from, (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_QUERY,
+                                                      .revision = 4,
+                                                      .asked_at = now,
+                                                      .age = -1,
+                                                      .announced_change = announced_change });
 }
 
 /* Runs for a number of seconds without the store. i2 and i3 answer queries; i4 answers only if
  * i4_answers. */
 static void
-run_without_store (int seconds, bool i4_answers)
+run_without_store_for_seconds (int seconds, bool i4_answers)
 {
   for (int i = 0; i < 2 * seconds; i++)
     {
-      advance_and_tick (LB_SEC / 2);
-      receive_status ("i2", lc_config_active_revision (config), now);
-      receive_status ("i3", lc_config_active_revision (config), now);
+      advance_time_and_tick_config (LB_SEC / 2);
+      receive_status_from_peer ("i2", lc_config_active_revision (config), now);
+      receive_status_from_peer ("i3", lc_config_active_revision (config), now);
       if (i4_answers)
-        receive_status ("i4", lc_config_active_revision (config), now);
+        receive_status_from_peer ("i4", lc_config_active_revision (config), now);
     }
 }
 
@@ -315,20 +319,20 @@
  * accepting work. */
 Test (config, partition_during_a_commit_stops_new_work)
 {
-  update_members (3, 3);
-  make_config_ready (4);
-  receive_announced_change ("i4", 1);
-  run_without_store (5, false);
+  report_peers_as_members (3, 3);
+  make_config_ready_at_revision (4);
+  receive_query_with_announced_change ("i4", 1);
+  run_without_store_for_seconds (5, false);
   cr_assert (lc_config_is_ready_for_new_work (config));
-  run_without_store (20, false);
+  run_without_store_for_seconds (20, false);
   cr_assert_not (lc_config_is_ready_for_new_work (config));
-  free_pending_actions ();
-  receive_announced_change ("i2", 0);
+  free_pending_config_actions ();
+  receive_query_with_announced_change ("i2", 0);
   LcConfigAction *answer = LB_LIST_FIRST (&actions, LcConfigAction, link);
   cr_assert_not (answer->message.confirmed,
                  "STATUS must not confirm a revision while the change of i4 is in doubt");
-  complete_store_read (5);
-  run_without_store (60, false);
+  complete_store_read_with_revision (5);
+  run_without_store_for_seconds (60, false);
 
   cr_assert (lc_config_is_ready_for_new_work (config),
              "must be ready, since the store read settles the outcome");
@@ -338,10 +342,10 @@
  * instance has a newer one active, so work must continue. */
 Test (config, pending_change_does_not_stop_work_while_its_announcer_answers)
 {
-  update_members (3, 3);
-  make_config_ready (4);
-  receive_announced_change ("i4", 1);
-  run_without_store (60, true);
+  report_peers_as_members (3, 3);
+  make_config_ready_at_revision (4);
+  receive_query_with_announced_change ("i4", 1);
+  run_without_store_for_seconds (60, true);
 
   cr_assert (lc_config_is_ready_for_new_work (config));
 }
@@ -350,15 +354,15 @@
  * the store and i4 become unreachable later. */
 Test (config, abandoned_change_does_not_stop_work)
 {
-  update_members (3, 3);
-  make_config_ready (4);
-  receive_announced_change ("i4", 1);
-  receive_message ("i4", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
-                                            .revision = 4,
-                                            .age = -1,
-                                            .confirmed = true,
-                                            .announced_change = 1 });
-  run_without_store (60, false);
+  report_peers_as_members (3, 3);
+  make_config_ready_at_revision (4);
+  receive_query_with_announced_change ("i4", 1);
+  receive_message_from_peer ("i4", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
+                                                      .revision = 4,
+                                                      .age = -1,
+                                                      .confirmed = true,
+                                                      .announced_change = 1 });
+  run_without_store_for_seconds (60, false);
 
   cr_assert (lc_config_is_ready_for_new_work (config));
 }
@@ -367,21 +371,21 @@
  * that starts when the change can no longer take effect. */
 Test (config, newer_revision_or_store_read_settles_an_announced_change)
 {
-  update_members (3, 3);
-  make_config_ready (4);
-  receive_announced_change ("i4", 1);
-  receive_snapshot ("i2", 5);
-  run_without_store (60, false);
+  report_peers_as_members (3, 3);
+  make_config_ready_at_revision (4);
+  receive_query_with_announced_change ("i4", 1);
+  receive_snapshot_from_peer ("i2", 5);
+  run_without_store_for_seconds (60, false);
   cr_assert (lc_config_is_ready_for_new_work (config),
              "must be ready: revision 5 settles the announced change");
 
-  receive_message ("i4", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_QUERY,
-                                            .revision = 5,
-                                            .age = -1,
-                                            .announced_change = 2 });
+  receive_message_from_peer ("i4", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_QUERY,
+                                                      .revision = 5,
+                                                      .age = -1,
+                                                      .announced_change = 2 });
   now += 12 * LB_SEC;
-  complete_store_read (5);
-  run_without_store (60, false);
+  complete_store_read_with_revision (5);
+  run_without_store_for_seconds (60, false);
   cr_assert (lc_config_is_ready_for_new_work (config),
              "must be ready: the store read settles the announced change");
 }
@@ -391,16 +395,16 @@
  * the answer, the confirmation would look recent. */
 Test (config, confirmation_age_counts_from_the_query)
 {
-  update_members (1, 1);
-  make_config_ready (4);
-  advance_and_tick (LB_SEC);
+  report_peers_as_members (1, 1);
+  make_config_ready_at_revision (4);
+  advance_time_and_tick_config (LB_SEC);
   LbTime asked_at = now;
   now += 60 * LB_SEC;
-  receive_message ("i2", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
-                                            .revision = 4,
-                                            .asked_at = asked_at,
-                                            .age = 0,
-                                            .confirmed = true });
+  receive_message_from_peer ("i2", (LcConfigMessage){ .type = LC_CONFIG_MESSAGE_STATUS,
+                                                      .revision = 4,
+                                                      .asked_at = asked_at,
+                                                      .age = 0,
+                                                      .confirmed = true });
 
   cr_assert_not (lc_config_is_ready_for_new_work (config));
   cr_assert_geq (lc_config_confirmation_age (config, now), 60 * LB_SEC);
@@ -408,9 +412,9 @@
 
 Test (config, restarted_peer_is_not_counted_at_its_old_revision)
 {
-  update_members (2, 2);
-  make_config_ready (4);
-  receive_status ("i2", 4, now);
+  report_peers_as_members (2, 2);
+  make_config_ready_at_revision (4);
+  receive_status_from_peer ("i2", 4, now);
   cr_assert_eq (lc_config_count_instances_at_revision (config, 4).active, 2);
   cr_assert_eq (lc_config_count_instances_at_revision (config, 4).known, 3);
   const LcConfigMember restarted = { .name = "i2", .incarnation = "b", .alive = true };
--- a/packages/core/tests/test-desired.c
+++ b/packages/core/tests/test-desired.c
@@ -6,7 +6,7 @@
 #include <string.h>
 
 static void
-add_route (LcDesired *desired, const char *name, const char *host, const char *prefix)
+add_route_to_desired (LcDesired *desired, const char *name, const char *host, const char *prefix)
 {
   LcRoute route = { .kind = LC_ROUTE_IDEMPOTENT };
 
@@ -30,9 +30,9 @@
 {
   LcDesired *desired = lc_desired_new (3);
 
-  add_route (desired, "short", "shop.example", "/a/");
-  add_route (desired, "long", "shop.example", "/a/b/");
-  add_route (desired, "other", "mail.example", "/a/b/c/");
+  add_route_to_desired (desired, "short", "shop.example", "/a/");
+  add_route_to_desired (desired, "long", "shop.example", "/a/b/");
+  add_route_to_desired (desired, "other", "mail.example", "/a/b/c/");
   lc_desired_sort_routes (desired);
   cr_assert_str_eq (match_route_name (desired, "shop.example", "/a/x"), "short");
   cr_assert_str_eq (match_route_name (desired, "shop.example", "/a/b/c/d"), "long");
@@ -47,7 +47,7 @@
   LcDesired *desired = lc_desired_new (1);
   LcDesired *second = lc_desired_ref (desired);
 
-  add_route (desired, "r", "h", "/");
+  add_route_to_desired (desired, "r", "h", "/");
   lc_desired_unref (desired);
   cr_assert_str_eq (match_route_name (second, "h", "/x"), "r");
   lc_desired_unref (second);
--- a/packages/core/tests/test-dispatch-answers.c
+++ b/packages/core/tests/test-dispatch-answers.c
@@ -13,16 +13,16 @@
 static LcAction
 submit_and_take_first_attempt (Fixture *f, LcRequestSpec *spec)
 {
-  cr_assert (fixture_submit (f, spec));
-  return fixture_expect_action (f, LC_ACTION_SEND, spec->id);
+  cr_assert (fixture_submit_request (f, spec));
+  return fixture_expect_action_of_request (f, LC_ACTION_SEND, spec->id);
 }
 
 /* Advances the time past the retry delay and returns the next attempt of the request. */
 static LcAction
-take_retry_attempt (Fixture *f, const LcRequestSpec *spec)
+wait_and_take_retry_attempt (Fixture *f, const LcRequestSpec *spec)
 {
-  fixture_tick_at (f, f->now + 3 * LB_SEC);
-  return fixture_expect_action (f, LC_ACTION_SEND, spec->id);
+  fixture_tick_dispatch_at (f, f->now + 3 * LB_SEC);
+  return fixture_expect_action_of_request (f, LC_ACTION_SEND, spec->id);
 }
 
 /* The connection of the first attempt breaks before its first piece, and a second attempt starts at
@@ -34,12 +34,12 @@
 
   fixture_init (&f, &settings, 2, 4);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
   LcAction first = submit_and_take_first_attempt (&f, &spec);
 
   fixture_end_attempt (&f, spec.id, 1, LC_END_BROKEN);
 
-  LcAction second = take_retry_attempt (&f, &spec);
+  LcAction second = wait_and_take_retry_attempt (&f, &spec);
 
   cr_assert_eq (second.attempt, 2);
   cr_assert_str_neq (second.endpoint, first.endpoint);
@@ -50,7 +50,7 @@
   cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 1);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 2, 2, 2, true), LC_PIECE_FORWARD);
   fixture_end_attempt (&f, spec.id, 2, LC_END_COMPLETE);
-  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
+  cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 2, 4, 1, false), LC_PIECE_DROP);
   fixture_clear (&f);
 }
@@ -64,21 +64,21 @@
 
   fixture_init (&f, &settings, 2, 4);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
   submit_and_take_first_attempt (&f, &spec);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 2, false), LC_PIECE_FORWARD);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 2, false), LC_PIECE_DROP);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 2, 1, false), LC_PIECE_FORWARD);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 5, 1, false), LC_PIECE_DROP);
-  fixture_expect_action (&f, LC_ACTION_CANCEL, spec.id);
-  cr_assert_eq (take_retry_attempt (&f, &spec).resume_at, 3);
+  fixture_expect_action_of_request (&f, LC_ACTION_CANCEL, spec.id);
+  cr_assert_eq (wait_and_take_retry_attempt (&f, &spec).resume_at, 3);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 2, 2, 2, false), LC_PIECE_DROP,
                 "a piece that overlaps forwarded tokens was forwarded");
-  cr_assert_eq (take_retry_attempt (&f, &spec).resume_at, 3);
+  cr_assert_eq (wait_and_take_retry_attempt (&f, &spec).resume_at, 3);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 3, 3, 1, true), LC_PIECE_FORWARD);
   fixture_end_attempt (&f, spec.id, 3, LC_END_COMPLETE);
-  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
+  cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
   fixture_clear (&f);
 }
 
@@ -90,19 +90,19 @@
 
   fixture_init (&f, &settings, 2, 4);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
   LcAction first = submit_and_take_first_attempt (&f, &spec);
 
   fixture_deliver_piece (&f, spec.id, 1, 0, 5, false);
   fixture_end_attempt (&f, spec.id, 1, LC_END_BROKEN);
 
-  LcAction second = take_retry_attempt (&f, &spec);
+  LcAction second = wait_and_take_retry_attempt (&f, &spec);
 
   cr_assert_eq (second.resume_at, 5);
   cr_assert_str_neq (second.endpoint, first.endpoint);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 2, 5, 5, true), LC_PIECE_FORWARD);
   fixture_end_attempt (&f, spec.id, 2, LC_END_COMPLETE);
-  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
+  cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
   fixture_clear (&f);
 }
 
@@ -114,14 +114,14 @@
 
   fixture_init (&f, &settings, 2, 4);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
   spec.resumable = false;
   submit_and_take_first_attempt (&f, &spec);
   fixture_deliver_piece (&f, spec.id, 1, 0, 5, false);
   fixture_end_attempt (&f, spec.id, 1, LC_END_BROKEN);
 
-  LcAction finish = fixture_expect_action (&f, LC_ACTION_FINISH, spec.id);
+  LcAction finish = fixture_expect_action_of_request (&f, LC_ACTION_FINISH, spec.id);
 
   cr_assert_eq (finish.error, LB_ERROR_STREAM_BROKEN);
   cr_assert_gt (finish.retry_after, 0);
@@ -136,22 +136,22 @@
 
   fixture_init (&f, &settings, 1, 4);
 
-  LcRequestSpec truncated = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec truncated = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
   truncated.resumable = false;
   submit_and_take_first_attempt (&f, &truncated);
   fixture_deliver_piece (&f, truncated.id, 1, 0, 10, false);
   fixture_end_attempt (&f, truncated.id, 1, LC_END_BROKEN);
-  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, truncated.id).error,
+  cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_FINISH, truncated.id).error,
                 LB_ERROR_STREAM_BROKEN);
 
-  LcRequestSpec complete = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec complete = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
   submit_and_take_first_attempt (&f, &complete);
   fixture_deliver_piece (&f, complete.id, 1, 0, 10, true);
   cr_assert_eq (fixture_deliver_piece (&f, complete.id, 1, 10, 1, false), LC_PIECE_DROP);
   fixture_end_attempt (&f, complete.id, 1, LC_END_BROKEN);
-  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, complete.id).error, LB_OK);
+  cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_FINISH, complete.id).error, LB_OK);
   fixture_clear (&f);
 }
 
@@ -163,21 +163,21 @@
 
   fixture_init (&f, &hedging_settings, 2, 4);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
   LcAction first = submit_and_take_first_attempt (&f, &spec);
 
-  fixture_tick_at (&f, f.now + 2 * LB_SEC);
+  fixture_tick_dispatch_at (&f, f.now + 2 * LB_SEC);
 
-  LcAction second = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+  LcAction second = fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
 
   cr_assert_str_neq (second.endpoint, first.endpoint);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 2, 0, 1, false), LC_PIECE_FORWARD);
-  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_CANCEL, spec.id).attempt, 1);
+  cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_CANCEL, spec.id).attempt, 1);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 1, false), LC_PIECE_DROP);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 1, 1, false), LC_PIECE_DROP);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 2, 1, 1, true), LC_PIECE_FORWARD);
   fixture_end_attempt (&f, spec.id, 2, LC_END_COMPLETE);
-  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).attempt, 2);
+  cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_FINISH, spec.id).attempt, 2);
   fixture_clear (&f);
 }
 
@@ -189,20 +189,20 @@
 
   fixture_init (&f, &hedging_settings, 2, 4);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
   spec.delivery = LC_DELIVER_BUFFERED;
   submit_and_take_first_attempt (&f, &spec);
-  fixture_tick_at (&f, f.now + 2 * LB_SEC);
-  fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+  fixture_tick_dispatch_at (&f, f.now + 2 * LB_SEC);
+  fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 3, false), LC_PIECE_FORWARD);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 2, 0, 4, false), LC_PIECE_FORWARD);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 2, 4, 4, true), LC_PIECE_FORWARD);
   fixture_end_attempt (&f, spec.id, 2, LC_END_COMPLETE);
 
-  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_CANCEL, spec.id).attempt, 1);
+  cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_CANCEL, spec.id).attempt, 1);
 
-  LcAction finish = fixture_expect_action (&f, LC_ACTION_FINISH, spec.id);
+  LcAction finish = fixture_expect_action_of_request (&f, LC_ACTION_FINISH, spec.id);
 
   cr_assert_eq (finish.error, LB_OK);
   cr_assert_eq (finish.attempt, 2);
@@ -217,15 +217,16 @@
 
   fixture_init (&f, &settings, 2, 4);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
   spec.deadline = f.now + 5 * LB_SEC;
   submit_and_take_first_attempt (&f, &spec);
   fixture_deliver_piece (&f, spec.id, 1, 0, 1, false);
   cr_assert_eq (lc_dispatch_next_tick (f.dispatch), spec.deadline);
-  fixture_tick_at (&f, spec.deadline);
-  fixture_expect_action (&f, LC_ACTION_CANCEL, spec.id);
-  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error, LB_ERROR_DEADLINE);
+  fixture_tick_dispatch_at (&f, spec.deadline);
+  fixture_expect_action_of_request (&f, LC_ACTION_CANCEL, spec.id);
+  cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_FINISH, spec.id).error,
+                LB_ERROR_DEADLINE);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 1, 1, true), LC_PIECE_DROP);
   fixture_clear (&f);
 }
@@ -242,20 +243,21 @@
   fixture_init (&f, &settings, 2, 30);
   for (int i = 0; i < 30; i++)
     {
-      specs[i] = fixture_new_spec (&f, LC_KIND_LIVE);
-      cr_assert (fixture_submit (&f, &specs[i]));
+      specs[i] = fixture_make_request_spec (&f, LC_KIND_LIVE);
+      cr_assert (fixture_submit_request (&f, &specs[i]));
     }
   bool on_first[30];
   for (int i = 0; i < 30; i++)
     on_first[i]
-        = strcmp (fixture_expect_action (&f, LC_ACTION_SEND, specs[i].id).endpoint, "e1") == 0;
+        = strcmp (fixture_expect_action_of_request (&f, LC_ACTION_SEND, specs[i].id).endpoint, "e1")
+          == 0;
   for (int i = 0; i < 30; i++)
     fixture_deliver_piece (&f, specs[i].id, 1, 0, 5, false);
   for (int i = 0; i < 30; i++)
     if (on_first[i])
       fixture_end_attempt (&f, specs[i].id, 1, LC_END_BROKEN);
-  fixture_drop_actions (&f);
-  fixture_tick_at (&f, f.now + 2 * LB_SEC);
+  fixture_free_pending_actions (&f);
+  fixture_tick_dispatch_at (&f, f.now + 2 * LB_SEC);
   LB_LIST_FOREACH (&f.actions, LcAction, link, action)
   {
     cr_assert_neq (action->type, LC_ACTION_FINISH);
@@ -280,13 +282,13 @@
   const LcDispatchSettings large_retry_budget = { .retry_budget = 1, .seed = 1 };
 
   fixture_init (&f, &large_retry_budget, 2, 4);
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SAMPLE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_SAMPLE);
   spec.failure_is_final = true;
-  cr_assert (fixture_submit (&f, &spec));
-  cr_assert (fixture_take_action (&f, LC_ACTION_SEND, spec.id, &send));
+  cr_assert (fixture_submit_request (&f, &spec));
+  cr_assert (fixture_take_action_of_request (&f, LC_ACTION_SEND, spec.id, &send));
   lc_dispatch_record_attempt_end (f.dispatch, spec.id, send.attempt, LC_END_FAILED, f.now,
                                   &f.actions);
-  cr_assert (fixture_take_action (&f, LC_ACTION_FINISH, spec.id, &finish));
+  cr_assert (fixture_take_action_of_request (&f, LC_ACTION_FINISH, spec.id, &finish));
   cr_assert_eq (finish.error, LB_ERROR_ENDPOINT_FAILED);
   fixture_clear (&f);
 }
@@ -300,12 +302,12 @@
   const LcDispatchSettings large_retry_budget = { .retry_budget = 1, .seed = 1 };
 
   fixture_init (&f, &large_retry_budget, 2, 4);
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SAMPLE);
-  cr_assert (fixture_submit (&f, &spec));
-  cr_assert (fixture_take_action (&f, LC_ACTION_SEND, spec.id, &send));
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_SAMPLE);
+  cr_assert (fixture_submit_request (&f, &spec));
+  cr_assert (fixture_take_action_of_request (&f, LC_ACTION_SEND, spec.id, &send));
   lc_dispatch_record_attempt_end (f.dispatch, spec.id, send.attempt, LC_END_REJECTED, f.now,
                                   &f.actions);
-  cr_assert (fixture_take_action (&f, LC_ACTION_FINISH, spec.id, &finish));
+  cr_assert (fixture_take_action_of_request (&f, LC_ACTION_FINISH, spec.id, &finish));
   cr_assert_eq (finish.error, LB_ERROR_REJECTED);
   fixture_clear (&f);
 }
@@ -320,12 +322,12 @@
   int sent = 0;
 
   fixture_init (&f, &large_retry_budget, 4, 4);
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SAMPLE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_SAMPLE);
   spec.max_attempts = 2;
-  cr_assert (fixture_submit (&f, &spec));
+  cr_assert (fixture_submit_request (&f, &spec));
   for (int i = 0; i < 20; i++)
     {
-      while (fixture_take_action (&f, LC_ACTION_SEND, spec.id, &action))
+      while (fixture_take_action_of_request (&f, LC_ACTION_SEND, spec.id, &action))
         {
           sent++;
           lc_dispatch_record_attempt_end (f.dispatch, spec.id, action.attempt, LC_END_BROKEN, f.now,
@@ -348,18 +350,18 @@
   const LcDispatchSettings large_retry_budget = { .retry_budget = 1, .seed = 1 };
 
   fixture_init (&f, &large_retry_budget, 1, 4);
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SERVICE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_SERVICE);
   spec.hedge_after = 100 * LB_MSEC;
   spec.max_attempts = 2;
   spec.deadline = f.now + 2 * LB_SEC;
-  cr_assert (fixture_submit (&f, &spec));
-  cr_assert (fixture_take_action (&f, LC_ACTION_SEND, spec.id, &first));
+  cr_assert (fixture_submit_request (&f, &spec));
+  cr_assert (fixture_take_action_of_request (&f, LC_ACTION_SEND, spec.id, &first));
   f.now += 50 * LB_MSEC;
   lc_dispatch_tick (f.dispatch, f.now, &f.actions);
-  cr_assert_not (fixture_take_action (&f, LC_ACTION_SEND, spec.id, &second));
+  cr_assert_not (fixture_take_action_of_request (&f, LC_ACTION_SEND, spec.id, &second));
   f.now += 60 * LB_MSEC;
   lc_dispatch_tick (f.dispatch, f.now, &f.actions);
-  cr_assert (fixture_take_action (&f, LC_ACTION_SEND, spec.id, &second));
+  cr_assert (fixture_take_action_of_request (&f, LC_ACTION_SEND, spec.id, &second));
   cr_assert_str_neq (first.endpoint, second.endpoint);
   lc_dispatch_record_attempt_end (f.dispatch, spec.id, second.attempt, LC_END_COMPLETE, f.now,
                                   &f.actions);
@@ -379,21 +381,21 @@
 
   fixture_init (&f, &large_retry_budget, 1, 4);
   fixture_add_endpoint (&f, "s3", LC_ENDPOINT_SERVICE, "lookup", 4);
-  fixture_configure (&f);
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SERVICE);
+  fixture_apply_endpoint_set (&f);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_SERVICE);
   spec.hedge_after = 100 * LB_MSEC;
   spec.max_attempts = 2;
   spec.deadline = f.now + 2 * LB_SEC;
-  cr_assert (fixture_submit (&f, &spec));
-  cr_assert (fixture_take_action (&f, LC_ACTION_SEND, spec.id, &first));
+  cr_assert (fixture_submit_request (&f, &spec));
+  cr_assert (fixture_take_action_of_request (&f, LC_ACTION_SEND, spec.id, &first));
   f.now += 110 * LB_MSEC;
   lc_dispatch_tick (f.dispatch, f.now, &f.actions);
-  cr_assert (fixture_take_action (&f, LC_ACTION_SEND, spec.id, &second));
+  cr_assert (fixture_take_action_of_request (&f, LC_ACTION_SEND, spec.id, &second));
   f.now += 250 * LB_MSEC;
   lc_dispatch_record_attempt_end (f.dispatch, spec.id, second.attempt, LC_END_NOT_SENT, f.now,
                                   &f.actions);
   lc_dispatch_tick (f.dispatch, f.now, &f.actions);
-  cr_assert (fixture_take_action (&f, LC_ACTION_SEND, spec.id, &third));
+  cr_assert (fixture_take_action_of_request (&f, LC_ACTION_SEND, spec.id, &third));
   cr_assert_str_neq (third.endpoint, first.endpoint);
   cr_assert_str_neq (third.endpoint, second.endpoint);
   lc_dispatch_record_attempt_end (f.dispatch, spec.id, third.attempt, LC_END_COMPLETE, f.now,
@@ -404,7 +406,7 @@
 static LcRequestSpec
 new_hedged_sample_spec (Fixture *f)
 {
-  LcRequestSpec spec = fixture_new_spec (f, LC_KIND_SAMPLE);
+  LcRequestSpec spec = fixture_make_request_spec (f, LC_KIND_SAMPLE);
 
   spec.delivery = LC_DELIVER_STREAM;
   spec.hedge_after = 600 * LB_MSEC;
@@ -431,14 +433,14 @@
 
 /* Advances the time with a tick every 20 ms, as in a running instance. */
 static void
-advance_time_by (Fixture *f, LbTime time)
+advance_time_with_ticks (Fixture *f, LbTime time)
 {
   for (LbTime end = f->now + time; f->now < end;)
-    fixture_tick_at (f, f->now + 20 * LB_MSEC);
+    fixture_tick_dispatch_at (f, f->now + 20 * LB_MSEC);
 }
 
 static void
-deliver_first_piece (Fixture *f, const LcAction *sent)
+deliver_first_piece_of_attempt (Fixture *f, const LcAction *sent)
 {
   cr_assert_eq (fixture_deliver_piece (f, sent->request, sent->attempt, 0, 1, false),
                 LC_PIECE_FORWARD);
@@ -446,15 +448,15 @@
 
 /* Submits n samples and returns how many of them were sent to the engine. */
 static int
-submit_samples (Fixture *f, LcAction *sent, int n, const char *engine)
+submit_samples_and_count_sent_to_engine (Fixture *f, LcAction *sent, int n, const char *engine)
 {
   int count = 0;
 
   for (int i = 0; i < n; i++)
     {
       LcRequestSpec spec = new_hedged_sample_spec (f);
-      cr_assert (fixture_submit (f, &spec));
-      cr_assert (fixture_take_action (f, LC_ACTION_SEND, spec.id, &sent[i]));
+      cr_assert (fixture_submit_request (f, &spec));
+      cr_assert (fixture_take_action_of_request (f, LC_ACTION_SEND, spec.id, &sent[i]));
       count += strcmp (sent[i].endpoint, engine) == 0;
     }
   return count;
@@ -471,19 +473,19 @@
 
   fixture_init (&f, &settings, 3, 6);
   f.pool.live_reserve = 0;
-  fixture_configure (&f);
-  int n_hung = submit_samples (&f, sent, 12, "e1");
+  fixture_apply_endpoint_set (&f);
+  int n_hung = submit_samples_and_count_sent_to_engine (&f, sent, 12, "e1");
   cr_assert_gt (n_hung, 3);
   f.now += 100 * LB_MSEC;
   for (int i = 0; i < 12; i++)
     if (strcmp (sent[i].endpoint, "e1") != 0)
-      deliver_first_piece (&f, &sent[i]);
-  advance_time_by (&f, 520 * LB_MSEC);
+      deliver_first_piece_of_attempt (&f, &sent[i]);
+  advance_time_with_ticks (&f, 520 * LB_MSEC);
   int hedged = 0;
   while (take_next_send_action (&f, &second))
     {
       cr_assert_str_neq (second.endpoint, "e1");
-      deliver_first_piece (&f, &second);
+      deliver_first_piece_of_attempt (&f, &second);
       hedged++;
     }
   cr_assert_eq (hedged, n_hung, "%d of %d samples were hedged, expected all", hedged, n_hung);
@@ -503,17 +505,17 @@
   Fixture f;
 
   fixture_init (&f, &settings, 2, 2);
-  submit_samples (&f, sent, 4, "e1");
+  submit_samples_and_count_sent_to_engine (&f, sent, 4, "e1");
   f.now += 100 * LB_MSEC;
   for (int i = 1; i < 4; i++)
-    deliver_first_piece (&f, &sent[i]);
-  advance_time_by (&f, 520 * LB_MSEC);
+    deliver_first_piece_of_attempt (&f, &sent[i]);
+  advance_time_with_ticks (&f, 520 * LB_MSEC);
   cr_assert_not (take_next_send_action (&f, &second));
   for (int i = 1; i < 4; i++)
     if (strcmp (sent[i].endpoint, sent[0].endpoint) != 0)
       lc_dispatch_record_attempt_end (f.dispatch, sent[i].request, sent[i].attempt, LC_END_COMPLETE,
                                       f.now, &f.actions);
-  advance_time_by (&f, 120 * LB_MSEC);
+  advance_time_with_ticks (&f, 120 * LB_MSEC);
   cr_assert (take_next_send_action (&f, &second));
   fixture_clear (&f);
 }
@@ -527,15 +529,15 @@
   Fixture f;
 
   fixture_init (&f, &settings, 3, 6);
-  submit_samples (&f, sent, 4, "e1");
+  submit_samples_and_count_sent_to_engine (&f, sent, 4, "e1");
   f.now += 2 * LB_SEC;
   lc_dispatch_tick (f.dispatch, f.now, &f.actions);
   for (int i = 0; i < 4; i++)
     {
       cr_assert_not (take_next_send_action (&f, &second));
-      deliver_first_piece (&f, &sent[i]);
+      deliver_first_piece_of_attempt (&f, &sent[i]);
     }
-  advance_time_by (&f, LB_SEC);
+  advance_time_with_ticks (&f, LB_SEC);
   cr_assert (lb_list_is_empty (&f.actions));
   fixture_clear (&f);
 }
@@ -549,13 +551,13 @@
   Fixture f;
 
   fixture_init (&f, &settings, 3, 6);
-  submit_samples (&f, sent, 8, "e1");
+  submit_samples_and_count_sent_to_engine (&f, sent, 8, "e1");
   f.now += 500 * LB_MSEC;
   for (int i = 0; i < 7; i++)
-    deliver_first_piece (&f, &sent[i]);
-  advance_time_by (&f, LB_SEC);
+    deliver_first_piece_of_attempt (&f, &sent[i]);
+  advance_time_with_ticks (&f, LB_SEC);
   cr_assert_not (take_next_send_action (&f, &second));
-  advance_time_by (&f, LB_SEC);
+  advance_time_with_ticks (&f, LB_SEC);
   cr_assert (take_next_send_action (&f, &second));
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-dispatch-leaving.c
+++ b/packages/core/tests/test-dispatch-leaving.c
@@ -15,7 +15,7 @@
 
 /* Counts the attempts sent to the endpoint among the pending actions. */
 static int
-count_sends_to (Fixture *f, const char *endpoint)
+count_attempts_sent_to_endpoint (Fixture *f, const char *endpoint)
 {
   int n_sends = 0;
 
@@ -38,22 +38,22 @@
 
   for (int i = 0; i < 8; i++)
     {
-      specs[i] = fixture_new_spec (&f, LC_KIND_LIVE);
-      cr_assert (fixture_submit (&f, &specs[i]));
+      specs[i] = fixture_make_request_spec (&f, LC_KIND_LIVE);
+      cr_assert (fixture_submit_request (&f, &specs[i]));
     }
   mark_endpoint_leaving (&f, "e2");
-  fixture_drop_actions (&f);
+  fixture_free_pending_actions (&f);
   fixture_deliver_piece (&f, specs[0].id, 1, 0, 3, false);
   fixture_end_attempt (&f, specs[0].id, 1, LC_END_BROKEN);
   fixture_end_attempt (&f, specs[1].id, 1, LC_END_FAILED);
   for (int i = 0; i < 50; i++)
     {
-      fixture_tick_at (&f, f.now + 100 * LB_MSEC);
+      fixture_tick_dispatch_at (&f, f.now + 100 * LB_MSEC);
       for (int n = 0; n < 8; n++)
         fixture_end_attempt (&f, specs[n].id, 1 + (n < 2), LC_END_COMPLETE);
     }
-  cr_assert_eq (count_sends_to (&f, "e2"), 0);
-  cr_assert_eq (count_sends_to (&f, "e1"), 6);
+  cr_assert_eq (count_attempts_sent_to_endpoint (&f, "e2"), 0);
+  cr_assert_eq (count_attempts_sent_to_endpoint (&f, "e1"), 6);
   cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
@@ -67,22 +67,23 @@
 
   fixture_init (&f, &settings, 3, 10);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
   spec.repeatable = false;
-  cr_assert (fixture_submit (&f, &spec));
+  cr_assert (fixture_submit_request (&f, &spec));
 
-  LcAction first = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+  LcAction first = fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
 
   fixture_end_attempt (&f, spec.id, 1, LC_END_REFUSED_LEAVING);
-  cr_assert_str_neq (fixture_expect_action (&f, LC_ACTION_SEND, spec.id).endpoint, first.endpoint);
+  cr_assert_str_neq (fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id).endpoint,
+                     first.endpoint);
   for (int i = 0; i < 10; i++)
     {
-      LcRequestSpec next = fixture_new_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec next = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-      cr_assert (fixture_submit (&f, &next));
+      cr_assert (fixture_submit_request (&f, &next));
     }
-  cr_assert_eq (count_sends_to (&f, first.endpoint), 0);
+  cr_assert_eq (count_attempts_sent_to_endpoint (&f, first.endpoint), 0);
   fixture_clear (&f);
 }
 
@@ -94,23 +95,23 @@
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestSpec running = fixture_new_spec (&f, LC_KIND_LIVE);
-  LcRequestSpec waiting = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec running = fixture_make_request_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec waiting = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-  cr_assert (fixture_submit (&f, &running));
-  cr_assert (fixture_submit (&f, &waiting));
+  cr_assert (fixture_submit_request (&f, &running));
+  cr_assert (fixture_submit_request (&f, &waiting));
   mark_endpoint_leaving (&f, "e1");
 
-  LcAction finish = fixture_expect_action (&f, LC_ACTION_FINISH, waiting.id);
+  LcAction finish = fixture_expect_action_of_request (&f, LC_ACTION_FINISH, waiting.id);
 
   cr_assert_eq (finish.error, LB_ERROR_NO_ENDPOINT);
   cr_assert_gt (finish.retry_after, 0);
   cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 1,
                 "the running call was ended");
 
-  LcRequestSpec late = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec late = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-  cr_assert_not (fixture_submit (&f, &late));
+  cr_assert_not (fixture_submit_request (&f, &late));
   cr_assert_eq (f.error.code, LB_ERROR_NO_ENDPOINT);
   fixture_clear (&f);
 }
@@ -123,22 +124,22 @@
 
   fixture_init (&f, &settings, 2, 4);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-  cr_assert (fixture_submit (&f, &spec));
+  cr_assert (fixture_submit_request (&f, &spec));
 
-  LcAction first = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+  LcAction first = fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
 
   fixture_deliver_piece (&f, spec.id, 1, 0, 3, false);
   f.members[0] = f.members[strcmp (first.endpoint, "e1") == 0 ? 1 : 0];
   memmove (&f.members[1], &f.members[2], 2 * sizeof f.members[0]);
   f.set.n_endpoints--;
-  fixture_configure (&f);
+  fixture_apply_endpoint_set (&f);
   cr_assert (lb_list_is_empty (&f.actions));
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 3, 3, true), LC_PIECE_FORWARD);
   fixture_end_attempt (&f, spec.id, 1, LC_END_COMPLETE);
-  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
-  fixture_configure (&f);
+  cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
+  fixture_apply_endpoint_set (&f);
   fixture_clear (&f);
 }
 
@@ -150,25 +151,25 @@
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestSpec running = fixture_new_spec (&f, LC_KIND_LIVE);
-  LcRequestSpec waiting = fixture_new_spec (&f, LC_KIND_LIVE);
-  LcRequestSpec late = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec running = fixture_make_request_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec waiting = fixture_make_request_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec late = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-  cr_assert (fixture_submit (&f, &running));
-  cr_assert (fixture_submit (&f, &waiting));
+  cr_assert (fixture_submit_request (&f, &running));
+  cr_assert (fixture_submit_request (&f, &waiting));
   fixture_deliver_piece (&f, running.id, 1, 0, 3, false);
-  fixture_drop_actions (&f);
+  fixture_free_pending_actions (&f);
   lc_dispatch_drain (f.dispatch, f.now, &f.actions);
   cr_assert (lb_list_is_empty (&f.actions));
-  cr_assert_not (fixture_submit (&f, &late));
+  cr_assert_not (fixture_submit_request (&f, &late));
   cr_assert_eq (f.error.code, LB_ERROR_DRAINING);
   cr_assert_gt (f.retry_after, 0);
   cr_assert_eq (fixture_deliver_piece (&f, running.id, 1, 3, 3, true), LC_PIECE_FORWARD);
   fixture_end_attempt (&f, running.id, 1, LC_END_COMPLETE);
-  fixture_expect_action (&f, LC_ACTION_SEND, waiting.id);
+  fixture_expect_action_of_request (&f, LC_ACTION_SEND, waiting.id);
   fixture_deliver_piece (&f, waiting.id, 1, 0, 3, true);
   fixture_end_attempt (&f, waiting.id, 1, LC_END_COMPLETE);
-  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, waiting.id).error, LB_OK);
+  cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_FINISH, waiting.id).error, LB_OK);
   cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
@@ -183,17 +184,17 @@
   fixture_init (&f, &settings, 1, 10);
   for (int i = 0; i < 6; i++)
     {
-      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
       spec.deadline = f.now + 2 * LB_SEC;
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
     }
-  fixture_tick_at (&f, f.now + 2 * LB_SEC);
+  fixture_tick_dispatch_at (&f, f.now + 2 * LB_SEC);
   cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 0);
 
-  LcRequestSpec next = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec next = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-  cr_assert_not (fixture_submit (&f, &next));
+  cr_assert_not (fixture_submit_request (&f, &next));
   cr_assert_eq (f.error.code, LB_ERROR_NO_ENDPOINT);
   fixture_clear (&f);
 }
@@ -226,15 +227,15 @@
 
   for (int i = 0; i < 2; i++)
     {
-      specs[i] = fixture_new_spec (&f, LC_KIND_LIVE);
-      cr_assert (fixture_submit (&f, &specs[i]));
+      specs[i] = fixture_make_request_spec (&f, LC_KIND_LIVE);
+      cr_assert (fixture_submit_request (&f, &specs[i]));
     }
   cr_assert (lb_list_is_empty (&f.actions));
   report_endpoint_load (&f, "e1", true);
   report_endpoint_load (&f, "e2", false);
-  cr_assert_eq (count_sends_to (&f, "e1"), 0);
-  cr_assert_eq (count_sends_to (&f, "e2"), 2);
-  cr_assert_not (fixture_take_action (&f, LC_ACTION_FINISH, specs[0].id, &action));
+  cr_assert_eq (count_attempts_sent_to_endpoint (&f, "e1"), 0);
+  cr_assert_eq (count_attempts_sent_to_endpoint (&f, "e2"), 2);
+  cr_assert_not (fixture_take_action_of_request (&f, LC_ACTION_FINISH, specs[0].id, &action));
   fixture_clear (&f);
 }
 
@@ -254,20 +255,20 @@
     }
   for (int i = 0; i < 4; i++)
     {
-      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
     }
-  cr_assert_eq (count_sends_to (&f, "e2"), 4);
-  fixture_drop_actions (&f);
+  cr_assert_eq (count_attempts_sent_to_endpoint (&f, "e2"), 4);
+  fixture_free_pending_actions (&f);
   f.now += 10 * LB_SEC;
 
-  LcRequestSpec last = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec last = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-  cr_assert (fixture_submit (&f, &last));
+  cr_assert (fixture_submit_request (&f, &last));
   cr_assert (lb_list_is_empty (&f.actions));
-  fixture_tick_at (&f, f.now + 3 * LB_SEC);
-  fixture_expect_action (&f, LC_ACTION_SEND, last.id);
+  fixture_tick_dispatch_at (&f, f.now + 3 * LB_SEC);
+  fixture_expect_action_of_request (&f, LC_ACTION_SEND, last.id);
   fixture_clear (&f);
 }
 
@@ -287,18 +288,18 @@
   lc_dispatch_configure (f.dispatch, &f.set, f.now, &f.actions);
   for (int i = 0; i < 3; i++)
     {
-      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
     }
   for (int i = 0; i < 5; i++)
     {
-      fixture_tick_at (&f, f.now + LB_SEC);
+      fixture_tick_dispatch_at (&f, f.now + LB_SEC);
       report_endpoint_load (&f, "e2", false);
     }
-  cr_assert_eq (count_sends_to (&f, "e1"), 0);
-  cr_assert_eq (count_sends_to (&f, "e2"), 1);
-  cr_assert_eq (count_sends_to (&f, "e3"), 0);
+  cr_assert_eq (count_attempts_sent_to_endpoint (&f, "e1"), 0);
+  cr_assert_eq (count_attempts_sent_to_endpoint (&f, "e2"), 1);
+  cr_assert_eq (count_attempts_sent_to_endpoint (&f, "e3"), 0);
   fixture_clear (&f);
 }
 
@@ -316,11 +317,11 @@
     }
   for (int i = 0; i < 5; i++)
     {
-      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
     }
-  cr_assert_eq (count_sends_to (&f, "e12"), 5);
+  cr_assert_eq (count_attempts_sent_to_endpoint (&f, "e12"), 5);
   fixture_clear (&f);
 }
 
@@ -334,21 +335,21 @@
   fixture_add_endpoint (&f, "m1", LC_ENDPOINT_SERVICE, "mute", 4);
   lc_dispatch_configure (f.dispatch, &f.set, f.now, &f.actions);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SERVICE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_SERVICE);
 
   LB_COPY (spec.pool, "mute");
-  cr_assert (fixture_submit (&f, &spec));
+  cr_assert (fixture_submit_request (&f, &spec));
   cr_assert (lb_list_is_empty (&f.actions));
 
   const LcLoadReport any_answer = { .measured_at = f.now };
 
   lc_dispatch_record_load_report (f.dispatch, "m1", &any_answer, f.now, &f.actions);
-  fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+  fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
   fixture_clear (&f);
 }
 
 /* An instance is paused twice, an hour apart. After each pause, a call is held until a new load
- * report arrives. The hold after the first pause must not end the second one early. */
+ * report arrives. The first hold must not shorten the second hold. */
 Test (leaving, each_pause_has_its_own_hold)
 {
   Fixture f;
@@ -356,16 +357,16 @@
   fixture_init (&f, &settings_with_default_report_age, 1, 4);
   for (int i = 0; i < 2; i++)
     {
-      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
       f.now += 3600 * LB_SEC;
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
       cr_assert (lb_list_is_empty (&f.actions),
                  "the call was sent before a new report, after pause %d", i);
       report_endpoint_load (&f, "e1", false);
-      fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+      fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
       fixture_end_attempt (&f, spec.id, 1, LC_END_COMPLETE);
-      fixture_drop_actions (&f);
+      fixture_free_pending_actions (&f);
     }
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-dispatch-not-run.c
+++ b/packages/core/tests/test-dispatch-not-run.c
@@ -10,10 +10,10 @@
 /* Ends every attempt of the request with `end` until the request finishes. Returns the FINISH
  * action and counts the attempts. */
 static LcAction
-end_attempts_until_finished (Fixture *f,
-                             const LcRequestSpec *spec,
-                             LcAttemptEnd end,
-                             int *n_attempts)
+end_attempts_until_request_finished (Fixture *f,
+                                     const LcRequestSpec *spec,
+                                     LcAttemptEnd end,
+                                     int *n_attempts)
 {
   LcAction action = { .type = LC_ACTION_SEND };
 
@@ -24,7 +24,7 @@
 
       if (!link)
         {
-          fixture_tick_at (f, f->now + 100 * LB_MSEC);
+          fixture_tick_dispatch_at (f, f->now + 100 * LB_MSEC);
           continue;
         }
       action = *LB_CONTAINER (link, LcAction, link);
@@ -47,12 +47,12 @@
 
   fixture_init (&f, &settings, 3, 4);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
   LbTime submitted = f.now;
 
-  cr_assert (fixture_submit (&f, &spec));
+  cr_assert (fixture_submit_request (&f, &spec));
 
-  LcAction finish = end_attempts_until_finished (&f, &spec, LC_END_NOT_SENT, &n_attempts);
+  LcAction finish = end_attempts_until_request_finished (&f, &spec, LC_END_NOT_SENT, &n_attempts);
 
   cr_assert (lb_error_proves_request_not_run (finish.error));
   cr_assert_gt (finish.retry_after, 0);
@@ -71,22 +71,22 @@
 
   fixture_init (&f, &settings, 2, 4);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-  cr_assert (fixture_submit (&f, &spec));
-  fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+  cr_assert (fixture_submit_request (&f, &spec));
+  fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
   fixture_end_attempt (&f, spec.id, 1, LC_END_BROKEN);
-  fixture_tick_at (&f, f.now + LB_SEC);
-  fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+  fixture_tick_dispatch_at (&f, f.now + LB_SEC);
+  fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
   fixture_end_attempt (&f, spec.id, 2, LC_END_REFUSED);
   n_attempts = 2;
   for (int i = 0; i < 100 && lc_dispatch_count_requests_in_progress (f.dispatch); i++)
     {
-      fixture_tick_at (&f, f.now + LB_SEC);
+      fixture_tick_dispatch_at (&f, f.now + LB_SEC);
       fixture_end_attempt (&f, spec.id, ++n_attempts, LC_END_REFUSED);
     }
 
-  LcAction finish = fixture_expect_action (&f, LC_ACTION_FINISH, spec.id);
+  LcAction finish = fixture_expect_action_of_request (&f, LC_ACTION_FINISH, spec.id);
 
   cr_assert_eq (finish.error, LB_ERROR_OUTCOME_UNKNOWN);
   cr_assert_not (lb_error_proves_request_not_run (finish.error));
@@ -105,20 +105,20 @@
 
       fixture_init (&f, &settings, 3, 4);
 
-      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
       spec.repeatable = false;
-      cr_assert (fixture_submit (&f, &spec));
-      fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
-      fixture_tick_at (&f, f.now + 10 * LB_SEC);
+      cr_assert (fixture_submit_request (&f, &spec));
+      fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
+      fixture_tick_dispatch_at (&f, f.now + 10 * LB_SEC);
       cr_assert (lb_list_is_empty (&f.actions), "a non-repeatable call was hedged");
       fixture_end_attempt (&f, spec.id, 1, ends[i]);
 
-      LcAction finish = fixture_expect_action (&f, LC_ACTION_FINISH, spec.id);
+      LcAction finish = fixture_expect_action_of_request (&f, LC_ACTION_FINISH, spec.id);
 
       cr_assert_not (lb_error_proves_request_not_run (finish.error));
       cr_assert (lb_list_is_empty (&f.actions));
-      fixture_tick_at (&f, f.now + 60 * LB_SEC);
+      fixture_tick_dispatch_at (&f, f.now + 60 * LB_SEC);
       cr_assert (lb_list_is_empty (&f.actions));
       fixture_clear (&f);
     }
@@ -136,20 +136,20 @@
 
       fixture_init (&f, &settings, 3, 4);
 
-      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
       spec.repeatable = false;
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
 
-      LcAction first = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+      LcAction first = fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
 
       fixture_end_attempt (&f, spec.id, 1, ends[i]);
-      fixture_tick_at (&f, f.now + LB_SEC);
-      cr_assert_str_neq (fixture_expect_action (&f, LC_ACTION_SEND, spec.id).endpoint,
+      fixture_tick_dispatch_at (&f, f.now + LB_SEC);
+      cr_assert_str_neq (fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id).endpoint,
                          first.endpoint);
       fixture_deliver_piece (&f, spec.id, 2, 0, 1, true);
       fixture_end_attempt (&f, spec.id, 2, LC_END_COMPLETE);
-      cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
+      cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
       fixture_clear (&f);
     }
 }
@@ -161,14 +161,14 @@
 
   fixture_init (&f, &settings, 2, 4);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
   spec.repeatable = false;
   spec.resumable = false;
-  cr_assert (fixture_submit (&f, &spec));
+  cr_assert (fixture_submit_request (&f, &spec));
   fixture_deliver_piece (&f, spec.id, 1, 0, 1, false);
   fixture_end_attempt (&f, spec.id, 1, LC_END_REFUSED);
-  cr_assert_eq (fixture_expect_action (&f, LC_ACTION_FINISH, spec.id).error,
+  cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_FINISH, spec.id).error,
                 LB_ERROR_STREAM_BROKEN);
   fixture_clear (&f);
 }
@@ -181,24 +181,24 @@
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestSpec running = fixture_new_spec (&f, LC_KIND_LIVE);
-  LcRequestSpec waiting = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec running = fixture_make_request_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec waiting = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
   waiting.deadline = f.now + 2 * LB_SEC;
   waiting.repeatable = false;
-  cr_assert (fixture_submit (&f, &running));
-  cr_assert (fixture_submit (&f, &waiting));
+  cr_assert (fixture_submit_request (&f, &running));
+  cr_assert (fixture_submit_request (&f, &waiting));
   cr_assert_eq (lc_dispatch_count_waiting_requests (f.dispatch, LC_KIND_LIVE), 1);
-  fixture_drop_actions (&f);
-  fixture_tick_at (&f, waiting.deadline);
+  fixture_free_pending_actions (&f);
+  fixture_tick_dispatch_at (&f, waiting.deadline);
 
-  LcAction finish = fixture_expect_action (&f, LC_ACTION_FINISH, waiting.id);
+  LcAction finish = fixture_expect_action_of_request (&f, LC_ACTION_FINISH, waiting.id);
 
   cr_assert_eq (finish.error, LB_ERROR_DEADLINE_BEFORE_START);
   cr_assert_gt (finish.retry_after, 0);
   fixture_end_attempt (&f, running.id, 1, LC_END_COMPLETE);
-  fixture_tick_at (&f, f.now + LB_SEC);
-  cr_assert_not (fixture_take_action (&f, LC_ACTION_SEND, waiting.id, &finish));
+  fixture_tick_dispatch_at (&f, f.now + LB_SEC);
+  cr_assert_not (fixture_take_action_of_request (&f, LC_ACTION_SEND, waiting.id, &finish));
   fixture_clear (&f);
 }
 
@@ -210,14 +210,14 @@
 
   fixture_init (&f, &settings, 1, 1);
 
-  LcRequestSpec running = fixture_new_spec (&f, LC_KIND_LIVE);
-  LcRequestSpec waiting = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec running = fixture_make_request_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec waiting = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-  cr_assert (fixture_submit (&f, &running));
-  cr_assert (fixture_submit (&f, &waiting));
+  cr_assert (fixture_submit_request (&f, &running));
+  cr_assert (fixture_submit_request (&f, &waiting));
   lc_dispatch_cancel (f.dispatch, waiting.id, f.now, &f.actions);
   fixture_end_attempt (&f, running.id, 1, LC_END_COMPLETE);
-  cr_assert_not (fixture_take_action (&f, LC_ACTION_SEND, waiting.id, &action));
+  cr_assert_not (fixture_take_action_of_request (&f, LC_ACTION_SEND, waiting.id, &action));
   cr_assert_eq (lc_dispatch_count_requests_in_progress (f.dispatch), 0);
   fixture_clear (&f);
 }
@@ -230,10 +230,10 @@
 
   fixture_init (&f, &settings, 8, 4);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-  cr_assert (fixture_submit (&f, &spec));
-  cr_assert_eq (end_attempts_until_finished (&f, &spec, LC_END_BROKEN, &n_attempts).error,
+  cr_assert (fixture_submit_request (&f, &spec));
+  cr_assert_eq (end_attempts_until_request_finished (&f, &spec, LC_END_BROKEN, &n_attempts).error,
                 LB_ERROR_OUTCOME_UNKNOWN);
   cr_assert_leq (n_attempts, 3);
   fixture_clear (&f);
@@ -253,15 +253,15 @@
       LB_COPY (random.policy, "random");
       fixture_init (&f, &random, 2, 4);
 
-      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
 
-      LcAction first = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+      LcAction first = fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
 
       fixture_end_attempt (&f, spec.id, 1, LC_END_BROKEN);
-      fixture_tick_at (&f, f.now + LB_SEC);
-      cr_assert_str_neq (fixture_expect_action (&f, LC_ACTION_SEND, spec.id).endpoint,
+      fixture_tick_dispatch_at (&f, f.now + LB_SEC);
+      cr_assert_str_neq (fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id).endpoint,
                          first.endpoint);
       fixture_clear (&f);
     }
@@ -277,12 +277,12 @@
 
   fixture_init (&f, &settings, 0, 4);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SERVICE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_SERVICE);
 
   spec.max_attempts = 2;
-  cr_assert (fixture_submit (&f, &spec));
+  cr_assert (fixture_submit_request (&f, &spec));
 
-  LcAction finish = end_attempts_until_finished (&f, &spec, LC_END_NOT_SENT, &n_attempts);
+  LcAction finish = end_attempts_until_request_finished (&f, &spec, LC_END_NOT_SENT, &n_attempts);
 
   cr_assert (lb_error_proves_request_not_run (finish.error));
   cr_assert_gt (n_attempts, 2);
--- a/packages/core/tests/test-dispatch-quarantine.c
+++ b/packages/core/tests/test-dispatch-quarantine.c
@@ -6,7 +6,7 @@
 /* Adds n crash reports of other instances, each of a different endpoint that crashed on a request
  * with this content. */
 static void
-add_crash_reports (Fixture *f, LcFingerprint content, int n)
+add_crash_reports_of_content (Fixture *f, LcFingerprint content, int n)
 {
   LcCrashReport crash = { .at = f->now, .fingerprints = { content }, .n_fingerprints = 1 };
 
@@ -19,9 +19,9 @@
 }
 
 static LcRequestSpec
-new_spec_with_content (Fixture *f, LcRequestKind kind, LcFingerprint content)
+make_request_spec_with_content (Fixture *f, LcRequestKind kind, LcFingerprint content)
 {
-  LcRequestSpec spec = fixture_new_spec (f, kind);
+  LcRequestSpec spec = fixture_make_request_spec (f, kind);
 
   spec.content = content;
   return spec;
@@ -36,20 +36,20 @@
   Fixture f;
 
   fixture_init (&f, &(LcDispatchSettings){ .retry_budget = 0.1 }, 2, 8);
-  add_crash_reports (&f, CRASHING_FINGERPRINT, 3);
+  add_crash_reports_of_content (&f, CRASHING_FINGERPRINT, 3);
   for (size_t i = 0; i < 3; i++)
     {
-      LcRequestSpec crashing = new_spec_with_content (&f, kinds[i], CRASHING_FINGERPRINT);
-      LcRequestSpec other = new_spec_with_content (&f, kinds[i], OTHER_FINGERPRINT);
-      LcRequestSpec unknown = new_spec_with_content (&f, kinds[i], 0);
-      cr_assert_not (fixture_submit (&f, &crashing));
+      LcRequestSpec crashing = make_request_spec_with_content (&f, kinds[i], CRASHING_FINGERPRINT);
+      LcRequestSpec other = make_request_spec_with_content (&f, kinds[i], OTHER_FINGERPRINT);
+      LcRequestSpec unknown = make_request_spec_with_content (&f, kinds[i], 0);
+      cr_assert_not (fixture_submit_request (&f, &crashing));
       cr_assert_eq (f.error.code, LB_ERROR_QUARANTINED);
       cr_assert (lb_error_proves_request_not_run (f.error.code));
       cr_assert_eq (f.retry_after, lc_quarantine_report_lifetime ());
-      cr_assert (fixture_submit (&f, &other));
-      fixture_expect_action (&f, LC_ACTION_SEND, other.id);
-      cr_assert (fixture_submit (&f, &unknown));
-      fixture_expect_action (&f, LC_ACTION_SEND, unknown.id);
+      cr_assert (fixture_submit_request (&f, &other));
+      fixture_expect_action_of_request (&f, LC_ACTION_SEND, other.id);
+      cr_assert (fixture_submit_request (&f, &unknown));
+      fixture_expect_action_of_request (&f, LC_ACTION_SEND, unknown.id);
     }
   fixture_clear (&f);
 }
@@ -61,19 +61,20 @@
   Fixture f;
 
   fixture_init (&f, &(LcDispatchSettings){ .retry_budget = 0.1 }, 1, 1);
-  LcRequestSpec first = new_spec_with_content (&f, LC_KIND_SAMPLE, OTHER_FINGERPRINT);
-  LcRequestSpec crashing = new_spec_with_content (&f, LC_KIND_SAMPLE, CRASHING_FINGERPRINT);
-  LcRequestSpec last = new_spec_with_content (&f, LC_KIND_SAMPLE, OTHER_FINGERPRINT + 1);
-  cr_assert (fixture_submit (&f, &first));
-  cr_assert (fixture_submit (&f, &crashing));
-  cr_assert (fixture_submit (&f, &last));
-  LcAction sent = fixture_expect_action (&f, LC_ACTION_SEND, first.id);
-  add_crash_reports (&f, CRASHING_FINGERPRINT, 3);
+  LcRequestSpec first = make_request_spec_with_content (&f, LC_KIND_SAMPLE, OTHER_FINGERPRINT);
+  LcRequestSpec crashing
+      = make_request_spec_with_content (&f, LC_KIND_SAMPLE, CRASHING_FINGERPRINT);
+  LcRequestSpec last = make_request_spec_with_content (&f, LC_KIND_SAMPLE, OTHER_FINGERPRINT + 1);
+  cr_assert (fixture_submit_request (&f, &first));
+  cr_assert (fixture_submit_request (&f, &crashing));
+  cr_assert (fixture_submit_request (&f, &last));
+  LcAction sent = fixture_expect_action_of_request (&f, LC_ACTION_SEND, first.id);
+  add_crash_reports_of_content (&f, CRASHING_FINGERPRINT, 3);
   fixture_end_attempt (&f, first.id, sent.attempt, LC_END_COMPLETE);
-  LcAction end = fixture_expect_action (&f, LC_ACTION_FINISH, crashing.id);
+  LcAction end = fixture_expect_action_of_request (&f, LC_ACTION_FINISH, crashing.id);
   cr_assert_eq (end.error, LB_ERROR_QUARANTINED);
   cr_assert_gt (end.retry_after, 0);
-  fixture_expect_action (&f, LC_ACTION_SEND, last.id);
+  fixture_expect_action_of_request (&f, LC_ACTION_SEND, last.id);
   fixture_clear (&f);
 }
 
@@ -84,13 +85,14 @@
   Fixture f;
 
   fixture_init (&f, &(LcDispatchSettings){ .retry_budget = 1 }, 2, 8);
-  LcRequestSpec crashing = new_spec_with_content (&f, LC_KIND_SERVICE, CRASHING_FINGERPRINT);
-  cr_assert (fixture_submit (&f, &crashing));
-  LcAction sent = fixture_expect_action (&f, LC_ACTION_SEND, crashing.id);
+  LcRequestSpec crashing
+      = make_request_spec_with_content (&f, LC_KIND_SERVICE, CRASHING_FINGERPRINT);
+  cr_assert (fixture_submit_request (&f, &crashing));
+  LcAction sent = fixture_expect_action_of_request (&f, LC_ACTION_SEND, crashing.id);
   fixture_end_attempt (&f, crashing.id, sent.attempt, LC_END_BROKEN);
-  add_crash_reports (&f, CRASHING_FINGERPRINT, 3);
-  fixture_tick_at (&f, f.now + LB_SEC);
-  LcAction end = fixture_expect_action (&f, LC_ACTION_FINISH, crashing.id);
+  add_crash_reports_of_content (&f, CRASHING_FINGERPRINT, 3);
+  fixture_tick_dispatch_at (&f, f.now + LB_SEC);
+  LcAction end = fixture_expect_action_of_request (&f, LC_ACTION_FINISH, crashing.id);
   cr_assert_eq (end.error, LB_ERROR_OUTCOME_UNKNOWN);
   fixture_clear (&f);
 }
@@ -102,18 +104,19 @@
   Fixture f;
 
   fixture_init (&f, &(LcDispatchSettings){ .retry_budget = 1 }, 2, 8);
-  LcRequestSpec crashing = new_spec_with_content (&f, LC_KIND_SERVICE, CRASHING_FINGERPRINT);
-  LcRequestSpec other = new_spec_with_content (&f, LC_KIND_SERVICE, OTHER_FINGERPRINT);
+  LcRequestSpec crashing
+      = make_request_spec_with_content (&f, LC_KIND_SERVICE, CRASHING_FINGERPRINT);
+  LcRequestSpec other = make_request_spec_with_content (&f, LC_KIND_SERVICE, OTHER_FINGERPRINT);
   crashing.hedge_after = 100 * LB_MSEC;
   other.hedge_after = 100 * LB_MSEC;
-  cr_assert (fixture_submit (&f, &crashing));
-  cr_assert (fixture_submit (&f, &other));
-  fixture_drop_actions (&f);
-  add_crash_reports (&f, CRASHING_FINGERPRINT, 3);
-  fixture_tick_at (&f, f.now + 150 * LB_MSEC);
+  cr_assert (fixture_submit_request (&f, &crashing));
+  cr_assert (fixture_submit_request (&f, &other));
+  fixture_free_pending_actions (&f);
+  add_crash_reports_of_content (&f, CRASHING_FINGERPRINT, 3);
+  fixture_tick_dispatch_at (&f, f.now + 150 * LB_MSEC);
   LcAction action;
-  cr_assert (fixture_take_action (&f, LC_ACTION_SEND, other.id, &action));
-  cr_assert_not (fixture_take_action (&f, LC_ACTION_SEND, crashing.id, &action));
+  cr_assert (fixture_take_action_of_request (&f, LC_ACTION_SEND, other.id, &action));
+  cr_assert_not (fixture_take_action_of_request (&f, LC_ACTION_SEND, crashing.id, &action));
   fixture_clear (&f);
 }
 
@@ -129,11 +132,11 @@
     {
       LcFingerprint cleared = 0;
       LbTime at = 0;
-      LcRequestSpec spec = new_spec_with_content (&f, LC_KIND_SAMPLE, content);
+      LcRequestSpec spec = make_request_spec_with_content (&f, LC_KIND_SAMPLE, content);
       spec.failure_is_final = true;
-      add_crash_reports (&f, content, 2);
-      cr_assert (fixture_submit (&f, &spec));
-      LcAction sent = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+      add_crash_reports_of_content (&f, content, 2);
+      cr_assert (fixture_submit_request (&f, &spec));
+      LcAction sent = fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
       if (content == 23)
         fixture_deliver_piece (&f, spec.id, sent.attempt, 0, 1, false);
       else
@@ -154,10 +157,10 @@
   LbTime at = 0;
 
   fixture_init (&f, &(LcDispatchSettings){ .retry_budget = 0.1 }, 2, 8);
-  add_crash_reports (&f, CRASHING_FINGERPRINT, 2);
-  LcRequestSpec spec = new_spec_with_content (&f, LC_KIND_SERVICE, CRASHING_FINGERPRINT);
-  cr_assert (fixture_submit (&f, &spec));
-  LcAction sent = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+  add_crash_reports_of_content (&f, CRASHING_FINGERPRINT, 2);
+  LcRequestSpec spec = make_request_spec_with_content (&f, LC_KIND_SERVICE, CRASHING_FINGERPRINT);
+  cr_assert (fixture_submit_request (&f, &spec));
+  LcAction sent = fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
   fixture_end_attempt (&f, spec.id, sent.attempt, LC_END_REFUSED);
   cr_assert_not (
       lc_quarantine_pop_clearance (lc_dispatch_get_quarantine (f.dispatch), &cleared, &at));
--- a/packages/core/tests/test-dispatch-random.c
+++ b/packages/core/tests/test-dispatch-random.c
@@ -1,12 +1,11 @@
+/* Sends random requests, faults and commands to a dispatch. A model of the endpoints records which
+ * attempts ran. After every event, the actions of the dispatch are checked against its invariants.
+ */
 #include "dispatch-fixture.h"
 
 #include <gsl/gsl_randist.h>
 #include <stdlib.h>
 
-/* Sends random requests, faults and commands to a dispatch. A model of the endpoints records which
- * attempts ran. After every event, the actions of the dispatch are checked against its invariants.
- */
-
 #define N_ENDPOINTS 6
 #define STEPS_BETWEEN_REPORTS 100 /* about 0.5 s of virtual time */
 #define N_SUBMIT_STEPS 4000
@@ -32,7 +31,7 @@
   bool started;
   bool damaged;     /* a piece was lost or reordered */
   int64_t next;     /* index of the next token that the endpoint sends */
-  int64_t received; /* number of tokens that the dispatch has, from earlier attempts too */
+  int64_t received; /* answer tokens that the dispatch has, with those of earlier attempts */
 } EndpointAttempt;
 
 typedef struct
@@ -85,7 +84,7 @@
 }
 
 static void
-record_send_action (Model *model, const LcAction *action)
+check_and_record_sent_attempt (Model *model, const LcAction *action)
 {
   Call *call = &model->calls[action->request];
   int endpoint = find_endpoint_index (model, action->endpoint);
@@ -106,7 +105,7 @@
 }
 
 static void
-check_finish_action (Model *model, const LcAction *action)
+check_and_record_final_result (Model *model, const LcAction *action)
 {
   Call *call = &model->calls[action->request];
 
@@ -132,7 +131,7 @@
 }
 
 static void
-record_and_check_pending_actions (Model *model)
+check_and_record_pending_actions (Model *model)
 {
   LbLink *link = NULL;
 
@@ -141,9 +140,9 @@
       LcAction *action = LB_CONTAINER (link, LcAction, link);
 
       if (action->type == LC_ACTION_SEND)
-        record_send_action (model, action);
+        check_and_record_sent_attempt (model, action);
       else if (action->type == LC_ACTION_FINISH)
-        check_finish_action (model, action);
+        check_and_record_final_result (model, action);
       else
         {
           cr_assert_not (model->forbid_cancel,
@@ -158,7 +157,7 @@
 submit_random_request (Model *model)
 {
   LcRequestKind kind = (LcRequestKind)gsl_rng_uniform_int (model->random, LC_N_KINDS);
-  LcRequestSpec spec = fixture_new_spec (&model->f, kind);
+  LcRequestSpec spec = fixture_make_request_spec (&model->f, kind);
   Call *call = &model->calls[spec.id];
 
   spec.repeatable = draw_with_probability (model, 0.6);
@@ -169,14 +168,14 @@
     spec.deadline = model->f.now + gsl_rng_uniform_int (model->random, 3 * LB_SEC);
   snprintf (spec.caller, sizeof spec.caller, "c%d", (int)gsl_rng_uniform_int (model->random, 5));
   *call = (Call){ .spec = spec, .length = 1 + gsl_rng_uniform_int (model->random, 12) };
-  if (fixture_submit (&model->f, &spec))
+  if (fixture_submit_request (&model->f, &spec))
     return;
   cr_assert (lb_error_proves_request_not_run (model->f.error.code));
   call->done = true;
 }
 
 static void
-end_attempt (Model *model, EndpointAttempt *endpoint_attempt, LcAttemptEnd outcome)
+end_open_attempt (Model *model, EndpointAttempt *endpoint_attempt, LcAttemptEnd outcome)
 {
   remove_open_attempt (model, endpoint_attempt);
   if (outcome == LC_END_REFUSED_LEAVING)
@@ -185,12 +184,13 @@
                        outcome);
 }
 
-/* Delivers a piece to the dispatch. If the dispatch forwards it, checks that it was allowed to. */
+/* Delivers a piece to the dispatch. If the dispatch accepts the piece, checks that the attempt was
+ * open and that the answer has no gap, no repeated token and no tokens of two open attempts. */
 static void
-deliver_and_check_piece (Model *model,
-                         EndpointAttempt *endpoint_attempt,
-                         int64_t offset,
-                         int64_t tokens)
+deliver_piece_and_check_verdict (Model *model,
+                                 EndpointAttempt *endpoint_attempt,
+                                 int64_t offset,
+                                 int64_t tokens)
 {
   Call *call = endpoint_attempt->call;
   bool last = offset + tokens == call->length;
@@ -214,20 +214,20 @@
 }
 
 static void
-start_or_end_attempt (Model *model, EndpointAttempt *endpoint_attempt)
+start_or_fail_attempt (Model *model, EndpointAttempt *endpoint_attempt)
 {
   double draw = gsl_rng_uniform (model->random);
 
   if (model->leaving[endpoint_attempt->endpoint] && draw < 0.5)
-    end_attempt (model, endpoint_attempt, LC_END_REFUSED_LEAVING);
+    end_open_attempt (model, endpoint_attempt, LC_END_REFUSED_LEAVING);
   else if (draw < 0.05)
-    end_attempt (model, endpoint_attempt, LC_END_NOT_SENT);
+    end_open_attempt (model, endpoint_attempt, LC_END_NOT_SENT);
   else if (draw < 0.1)
-    end_attempt (model, endpoint_attempt, LC_END_REFUSED);
+    end_open_attempt (model, endpoint_attempt, LC_END_REFUSED);
   else if (draw < 0.11)
-    end_attempt (model, endpoint_attempt, LC_END_REFUSED_LEAVING);
+    end_open_attempt (model, endpoint_attempt, LC_END_REFUSED_LEAVING);
   else if (draw < 0.13)
-    end_attempt (model, endpoint_attempt, LC_END_BROKEN);
+    end_open_attempt (model, endpoint_attempt, LC_END_BROKEN);
   else
     {
       endpoint_attempt->started = true;
@@ -238,7 +238,7 @@
 }
 
 static void
-send_next_piece (Model *model, EndpointAttempt *endpoint_attempt)
+send_next_piece_of_attempt (Model *model, EndpointAttempt *endpoint_attempt)
 {
   int64_t left = endpoint_attempt->call->length - endpoint_attempt->next;
   int64_t tokens = left < 2 ? left : 1 + (int64_t)gsl_rng_uniform_int (model->random, 2);
@@ -254,27 +254,27 @@
       && endpoint_attempt->next < endpoint_attempt->call->length)
     {
       endpoint_attempt->damaged = true;
-      deliver_and_check_piece (model, endpoint_attempt, endpoint_attempt->next, 1);
+      deliver_piece_and_check_verdict (model, endpoint_attempt, endpoint_attempt->next, 1);
     }
-  deliver_and_check_piece (model, endpoint_attempt, offset, tokens);
+  deliver_piece_and_check_verdict (model, endpoint_attempt, offset, tokens);
   if (draw_with_probability (model, 0.05))
-    deliver_and_check_piece (model, endpoint_attempt, offset, tokens);
+    deliver_piece_and_check_verdict (model, endpoint_attempt, offset, tokens);
 }
 
 static void
-advance_attempt (Model *model, EndpointAttempt *endpoint_attempt)
+simulate_next_event_of_open_attempt (Model *model, EndpointAttempt *endpoint_attempt)
 {
   if (!endpoint_attempt->started)
-    start_or_end_attempt (model, endpoint_attempt);
+    start_or_fail_attempt (model, endpoint_attempt);
   else if (endpoint_attempt->next == endpoint_attempt->call->length)
-    end_attempt (model, endpoint_attempt,
-                 endpoint_attempt->damaged ? LC_END_BROKEN : LC_END_COMPLETE);
+    end_open_attempt (model, endpoint_attempt,
+                      endpoint_attempt->damaged ? LC_END_BROKEN : LC_END_COMPLETE);
   else if (draw_with_probability (model, 0.02))
-    end_attempt (model, endpoint_attempt, LC_END_BROKEN);
+    end_open_attempt (model, endpoint_attempt, LC_END_BROKEN);
   else if (draw_with_probability (model, 0.02))
-    end_attempt (model, endpoint_attempt, LC_END_FAILED);
+    end_open_attempt (model, endpoint_attempt, LC_END_FAILED);
   else
-    send_next_piece (model, endpoint_attempt);
+    send_next_piece_of_attempt (model, endpoint_attempt);
 }
 
 /* Restarts the process of the endpoint. Its open attempts break, and the endpoint is no longer
@@ -286,8 +286,8 @@
 
   for (size_t i = model->n_open; i-- > 0;)
     if (i < model->n_open && model->open_attempts[i]->endpoint == endpoint)
-      end_attempt (model, model->open_attempts[i], LC_END_BROKEN);
-  record_and_check_pending_actions (model);
+      end_open_attempt (model, model->open_attempts[i], LC_END_BROKEN);
+  check_and_record_pending_actions (model);
   model->leaving[endpoint] = false;
   snprintf (report.incarnation, sizeof report.incarnation, "%d", ++model->incarnation[endpoint]);
   lc_dispatch_record_load_report (model->f.dispatch, model->f.members[endpoint].name, &report,
@@ -301,14 +301,14 @@
   model->forbid_cancel = true;
   lc_dispatch_mark_endpoint_leaving (model->f.dispatch, model->f.members[endpoint].name, "",
                                      LC_LEAVING_ENDPOINT, model->f.now, &model->f.actions);
-  record_and_check_pending_actions (model);
+  check_and_record_pending_actions (model);
   model->forbid_cancel = false;
 }
 
 /* Applies a configuration without one random endpoint, or with all endpoints. Never removes a
  * leaving endpoint, because the endpoint table would forget that the endpoint is leaving. */
 static void
-change_configuration (Model *model)
+remove_or_restore_random_endpoint (Model *model)
 {
   size_t n_all = model->f.set.n_endpoints;
   int removed = (int)gsl_rng_uniform_int (model->random, N_ENDPOINTS);
@@ -321,26 +321,26 @@
       model->f.members[removed] = model->f.members[n_all - 1];
       model->f.set.n_endpoints--;
     }
-  fixture_configure (&model->f);
+  fixture_apply_endpoint_set (&model->f);
   model->f.members[removed] = kept;
   model->f.set.n_endpoints = n_all;
-  record_and_check_pending_actions (model);
+  check_and_record_pending_actions (model);
   model->forbid_cancel = false;
 }
 
 static void
-change_random_endpoint (Model *model)
+inject_random_endpoint_change (Model *model)
 {
   int endpoint = (int)gsl_rng_uniform_int (model->random, N_ENDPOINTS);
 
   if (endpoint == model->removed)
-    change_configuration (model);
+    remove_or_restore_random_endpoint (model);
   else if (draw_with_probability (model, 0.3))
     mark_endpoint_leaving (model, endpoint);
   else if (draw_with_probability (model, 0.5))
     restart_endpoint (model, endpoint);
   else
-    change_configuration (model);
+    remove_or_restore_random_endpoint (model);
 }
 
 static void
@@ -353,30 +353,30 @@
 }
 
 static void
-run_random_step (Model *model, bool may_submit)
+run_random_dispatch_step (Model *model, bool may_submit)
 {
   model->f.now += gsl_rng_uniform_int (model->random, 10 * LB_MSEC);
   if (model->f.now >= lc_dispatch_next_tick (model->f.dispatch))
-    fixture_tick_at (&model->f, model->f.now);
-  record_and_check_pending_actions (model);
+    fixture_tick_dispatch_at (&model->f, model->f.now);
+  check_and_record_pending_actions (model);
   if (may_submit && draw_with_probability (model, 0.5))
     submit_random_request (model);
   else if (may_submit && draw_with_probability (model, 0.02) && model->f.last_id)
     cancel_random_request (model);
   else if (may_submit && draw_with_probability (model, 0.02))
-    change_random_endpoint (model);
+    inject_random_endpoint_change (model);
   else if (model->n_attempts && draw_with_probability (model, 0.05))
-    deliver_and_check_piece (
+    deliver_piece_and_check_verdict (
         model, &model->attempts[gsl_rng_uniform_int (model->random, model->n_attempts)], 0, 1);
   else if (model->n_open)
-    advance_attempt (model,
-                     model->open_attempts[gsl_rng_uniform_int (model->random, model->n_open)]);
-  record_and_check_pending_actions (model);
+    simulate_next_event_of_open_attempt (
+        model, model->open_attempts[gsl_rng_uniform_int (model->random, model->n_open)]);
+  check_and_record_pending_actions (model);
 }
 
 /* Reports the load of all endpoints, as the node's poller does several times per second. */
 static void
-report_all_loads (Model *model)
+report_load_of_all_endpoints (Model *model)
 {
   for (int i = 0; i < N_ENDPOINTS; i++)
     {
@@ -392,7 +392,7 @@
 }
 
 static void
-run_random_scenario (uint64_t seed)
+run_random_dispatch_scenario (uint64_t seed)
 {
   LcDispatchSettings settings = { .max_report_age = LB_TIME_NEVER,
                                   .queue_limit = 50,
@@ -407,14 +407,14 @@
   model->removed = -1;
   fixture_init (&model->f, &settings, N_ENDPOINTS - 2, 4);
   for (int i = 0; i < N_SUBMIT_STEPS; i++)
-    run_random_step (model, true);
+    run_random_dispatch_step (model, true);
   lc_dispatch_drain (model->f.dispatch, model->f.now, &model->f.actions);
   for (int i = 0;
        i < 100 * N_SUBMIT_STEPS && lc_dispatch_count_requests_in_progress (model->f.dispatch); i++)
     {
       if (i % STEPS_BETWEEN_REPORTS == 0)
-        report_all_loads (model);
-      run_random_step (model, false);
+        report_load_of_all_endpoints (model);
+      run_random_dispatch_step (model, false);
     }
   cr_assert_eq (lc_dispatch_count_requests_in_progress (model->f.dispatch), 0);
   for (LcRequestId id = 1; id <= model->f.last_id; id++)
@@ -429,5 +429,5 @@
 Test (random, invariants_hold_for_all_seeds)
 {
   for (uint64_t seed = 1; seed <= N_SEEDS; seed++)
-    run_random_scenario (seed);
+    run_random_dispatch_scenario (seed);
 }
--- a/packages/core/tests/test-endpoints.c
+++ b/packages/core/tests/test-endpoints.c
@@ -9,15 +9,15 @@
 
   fixture_init (&f, 2);
 
-  LcLoadReport report = fixture_record_report (&f, "e0", "a", 1, 10);
+  LcLoadReport report = fixture_record_load_report (&f, "e0", "a", 1, 10);
 
   cr_assert (lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, 12));
   cr_assert_not (lc_endpoints_mark_leaving (f.endpoints, "e0", "a", LC_LEAVING_PEER, 12));
   lc_endpoints_record_load_report (f.endpoints, "e0", &report, 13);
-  fixture_record_report (&f, "e0", "a", 2, 14);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 15));
-  fixture_record_report (&f, "e0", "b", 2, 20);
-  cr_assert (fixture_can_accept_live_call (&f, "e0", 21));
+  fixture_record_load_report (&f, "e0", "a", 2, 14);
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 15));
+  fixture_record_load_report (&f, "e0", "b", 2, 20);
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "e0", 21));
   fixture_clear (&f);
 }
 
@@ -29,20 +29,20 @@
   Fixture f;
 
   fixture_init (&f, 2);
-  fixture_record_report (&f, "e0", "a", 1, 10);
+  fixture_record_load_report (&f, "e0", "a", 1, 10);
   f.members[0].leaving = true;
-  fixture_configure (&f, 11);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 11));
+  fixture_apply_endpoint_set (&f, 11);
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 11));
   f.members[0].leaving = false;
-  fixture_configure (&f, 12);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 12));
-  fixture_record_report (&f, "e0", "b", 1, 20);
-  cr_assert (fixture_can_accept_live_call (&f, "e0", 21));
+  fixture_apply_endpoint_set (&f, 12);
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 12));
+  fixture_record_load_report (&f, "e0", "b", 1, 20);
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "e0", 21));
 
   f.members[0].leaving = true;
-  fixture_configure (&f, 30);
-  fixture_record_report (&f, "e0", "c", 1, 40);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 41));
+  fixture_apply_endpoint_set (&f, 30);
+  fixture_record_load_report (&f, "e0", "c", 1, 40);
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 41));
   fixture_clear (&f);
 }
 
@@ -55,11 +55,11 @@
   LcLoadReport old = { .incarnation = "a", .leaving = true, .version = 1, .measured_at = 15 };
 
   fixture_init (&f, 2);
-  fixture_record_report (&f, "e0", "a", 1, 10);
-  fixture_record_report (&f, "e0", "b", 7, 20);
+  fixture_record_load_report (&f, "e0", "a", 1, 10);
+  fixture_record_load_report (&f, "e0", "b", 7, 20);
   lc_endpoints_record_load_report (f.endpoints, "e0", &old, 21);
   cr_assert_eq (fixture_find_endpoint (&f, "e0")->report.version, 7);
-  cr_assert (fixture_can_accept_live_call (&f, "e0", 22));
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "e0", 22));
   fixture_clear (&f);
 }
 
@@ -71,11 +71,11 @@
   Fixture f;
 
   fixture_init (&f, 2);
-  fixture_record_report (&f, "e0", "a", 1, 10);
+  fixture_record_load_report (&f, "e0", "a", 1, 10);
   cr_assert_not (lc_endpoints_mark_leaving (f.endpoints, "e0", "b", LC_LEAVING_PEER, 11));
-  cr_assert (fixture_can_accept_live_call (&f, "e0", 12));
-  fixture_record_report (&f, "e0", "b", 1, 20);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 21));
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "e0", 12));
+  fixture_record_load_report (&f, "e0", "b", 1, 20);
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 21));
   fixture_clear (&f);
 }
 
@@ -87,8 +87,8 @@
 
   fixture_init (&f, 2);
   cr_assert (lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, 5));
-  fixture_record_report (&f, "e0", "a", 1, 10);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 11));
+  fixture_record_load_report (&f, "e0", "a", 1, 10);
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 11));
   fixture_clear (&f);
 }
 
@@ -100,11 +100,11 @@
   Fixture f;
 
   fixture_init (&f, 2);
-  fixture_record_report (&f, "e0", "a", 1, 10);
+  fixture_record_load_report (&f, "e0", "a", 1, 10);
   lc_endpoints_mark_leaving (f.endpoints, "e0", "a", LC_LEAVING_ENDPOINT, 11);
-  fixture_record_report (&f, "e0", "b", 1, 20);
-  fixture_record_report (&f, "e0", "a", 1, 30);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 31));
+  fixture_record_load_report (&f, "e0", "b", 1, 20);
+  fixture_record_load_report (&f, "e0", "a", 1, 30);
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 31));
   fixture_clear (&f);
 }
 
@@ -117,17 +117,17 @@
   Fixture f;
 
   fixture_init (&f, 2);
-  fixture_record_report (&f, "e0", "a", 1, 10);
+  fixture_record_load_report (&f, "e0", "a", 1, 10);
   cr_assert (lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 11));
   lc_endpoints_clear_platform_leaving_mark (f.endpoints, "e0", 12);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 13),
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 13),
                  "e0 accepts calls, but the list must not clear a mark of the current incarnation");
   lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 14);
-  fixture_record_report (&f, "e0", "b", 1, 20);
+  fixture_record_load_report (&f, "e0", "b", 1, 20);
   lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_PLATFORM, 21);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 22));
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 22));
   lc_endpoints_clear_platform_leaving_mark (f.endpoints, "e0", 23);
-  cr_assert (fixture_can_accept_live_call (&f, "e0", 24));
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "e0", 24));
   fixture_clear (&f);
 }
 
@@ -144,10 +144,10 @@
 
   lc_endpoint_request_sent (endpoint, LC_KIND_SAMPLE, 0, 10);
   f.set.n_endpoints = 1;
-  fixture_configure (&f, 11);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e1", 12));
+  fixture_apply_endpoint_set (&f, 11);
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e1", 12));
   lc_endpoint_request_ended (endpoint, LC_KIND_SAMPLE, true, 5, 10, 20);
-  fixture_configure (&f, 21);
+  fixture_apply_endpoint_set (&f, 21);
   cr_assert_null (lc_endpoints_find (f.endpoints, "e1"));
   fixture_clear (&f);
 }
@@ -166,11 +166,11 @@
   strcpy (f.members[1].pool, "reader");
   f.members[1].concurrency = 8;
   f.set.n_endpoints = 2;
-  fixture_configure (&f, start);
-  cr_assert_not (fixture_can_accept_live_call (&f, "fresh", start + LB_SEC));
-  cr_assert_not (fixture_can_accept_live_call (&f, "fresh", start + 60 * LB_SEC));
-  fixture_record_report (&f, "fresh", "a", 1, start + LB_SEC);
-  cr_assert (fixture_can_accept_live_call (&f, "fresh", start + LB_SEC));
+  fixture_apply_endpoint_set (&f, start);
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "fresh", start + LB_SEC));
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "fresh", start + 60 * LB_SEC));
+  fixture_record_load_report (&f, "fresh", "a", 1, start + LB_SEC);
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "fresh", start + LB_SEC));
   fixture_clear (&f);
 }
 
@@ -185,19 +185,19 @@
   fixture_init (&f, 2);
   for (int i = 0; i < 10; i++, now += 500 * LB_MSEC)
     {
-      fixture_record_report (&f, "e0", "a", 1, now);
-      fixture_record_report (&f, "e1", "a", 1, now);
+      fixture_record_load_report (&f, "e0", "a", 1, now);
+      fixture_record_load_report (&f, "e1", "a", 1, now);
     }
-  cr_assert (fixture_can_accept_live_call (&f, "e0", now));
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "e0", now));
   now += 10 * LB_SEC;
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", now),
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", now),
                  "outdated reports must be ignored before the first event after the stop");
   lc_endpoint_request_sent (fixture_find_endpoint (&f, "e1"), LC_KIND_LIVE, 0, now);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", now),
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", now),
                  "an event must not make outdated reports valid");
-  fixture_record_report (&f, "e0", "a", 1, now + LB_MSEC);
-  cr_assert (fixture_can_accept_live_call (&f, "e0", now + LB_MSEC));
-  cr_assert_not (fixture_can_accept_live_call (&f, "e1", now + LB_MSEC));
+  fixture_record_load_report (&f, "e0", "a", 1, now + LB_MSEC);
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "e0", now + LB_MSEC));
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e1", now + LB_MSEC));
   fixture_clear (&f);
 }
 
@@ -213,7 +213,7 @@
 
   f.members[0] = f.members[2];
   f.set.n_endpoints = 2;
-  fixture_configure (&f, 10);
+  fixture_apply_endpoint_set (&f, 10);
   cr_assert_eq (fixture_find_endpoint (&f, "e2")->slot, slot);
   cr_assert_eq (lc_endpoints_count (f.endpoints), 2);
   fixture_clear (&f);
@@ -226,16 +226,16 @@
   Fixture f;
 
   fixture_init (&f, 2);
-  fixture_record_report (&f, "e0", "a", 4, 10);
+  fixture_record_load_report (&f, "e0", "a", 4, 10);
   lc_endpoints_set_weight_swap_state (f.endpoints, "e0", true, 100, 20);
-  cr_assert (fixture_can_accept_live_call (&f, "e0", 30),
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "e0", 30),
              "e0 must accept calls while it serves the old weights");
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 100),
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 100),
                  "e0 must not accept calls: the swap is due and no version is stated");
-  fixture_record_report (&f, "e0", "a", 0, 110);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 111));
-  fixture_record_report (&f, "e0", "a", 5, 120);
-  cr_assert (fixture_can_accept_live_call (&f, "e0", 121));
+  fixture_record_load_report (&f, "e0", "a", 0, 110);
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 111));
+  fixture_record_load_report (&f, "e0", "a", 5, 120);
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "e0", 121));
   cr_assert_not (fixture_find_endpoint (&f, "e0")->swap_pending);
   fixture_clear (&f);
 }
@@ -249,12 +249,12 @@
   LcLoadReport early = { .incarnation = "a", .version = 4, .measured_at = 90 };
 
   fixture_init (&f, 2);
-  fixture_record_report (&f, "e0", "a", 4, 10);
+  fixture_record_load_report (&f, "e0", "a", 4, 10);
   lc_endpoints_set_weight_swap_state (f.endpoints, "e0", true, 100, 20);
   lc_endpoints_record_load_report (f.endpoints, "e0", &early, 105);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 106));
-  fixture_record_report (&f, "e0", "a", 4, 110);
-  cr_assert (fixture_can_accept_live_call (&f, "e0", 111));
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 106));
+  fixture_record_load_report (&f, "e0", "a", 4, 110);
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "e0", 111));
   fixture_clear (&f);
 }
 
@@ -286,11 +286,11 @@
 
   fixture_init (&f, 1);
   lc_endpoints_record_load_report (f.endpoints, "e0", &report, 10);
-  cr_assert (fixture_can_accept_live_call (&f, "e0", 11));
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "e0", 11));
   lc_endpoint_request_sent (fixture_find_endpoint (&f, "e0"), LC_KIND_LIVE, 0, 11);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 12));
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 12));
   lc_endpoint_request_ended (fixture_find_endpoint (&f, "e0"), LC_KIND_LIVE, true, 1, 1, 13);
-  cr_assert (fixture_can_accept_live_call (&f, "e0", 14));
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "e0", 14));
   fixture_clear (&f);
 }
 
@@ -321,13 +321,13 @@
 
   fixture_init (&f, 1);
   lc_endpoints_record_load_report (f.endpoints, "e0", &full, 10);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 11));
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 11));
   strcpy (f.members[0].address, "127.0.0.1:2");
-  fixture_configure (&f, 12);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 13),
+  fixture_apply_endpoint_set (&f, 12);
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 13),
                  "e0 must not accept calls before a report of the new process");
-  fixture_record_report (&f, "e0", "b", 1, 14);
-  cr_assert (fixture_can_accept_live_call (&f, "e0", 15));
+  fixture_record_load_report (&f, "e0", "b", 1, 14);
+  cr_assert (fixture_can_endpoint_accept_live_call (&f, "e0", 15));
   fixture_clear (&f);
 }
 
@@ -338,17 +338,17 @@
   Fixture f;
 
   fixture_init (&f, 1);
-  fixture_record_report (&f, "e0", "a", 1, 10);
+  fixture_record_load_report (&f, "e0", "a", 1, 10);
   lc_endpoints_mark_leaving (f.endpoints, "e0", "a", LC_LEAVING_ENDPOINT, 11);
   for (int i = 0; i < 5; i++)
     {
       lc_endpoint_request_sent (fixture_find_endpoint (&f, "e0"), LC_KIND_LIVE, 0, 12);
       lc_endpoint_request_ended (fixture_find_endpoint (&f, "e0"), LC_KIND_LIVE, false, 0, 1, 13);
     }
-  fixture_record_report (&f, "e0", "", 1, 20);
+  fixture_record_load_report (&f, "e0", "", 1, 20);
   cr_assert_eq (fixture_find_endpoint (&f, "e0")->breaker, LC_BREAKER_OPEN);
-  fixture_record_report (&f, "e0", "a", 1, 30);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 31));
+  fixture_record_load_report (&f, "e0", "a", 1, 30);
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 31));
   cr_assert_str_eq (fixture_find_endpoint (&f, "e0")->report.incarnation, "a");
   fixture_clear (&f);
 }
@@ -362,7 +362,7 @@
 
   fixture_init (&f, 1);
   lc_endpoints_record_load_report (f.endpoints, "e0", &ahead, 10);
-  fixture_record_report (&f, "e0", "a", 2, 20);
+  fixture_record_load_report (&f, "e0", "a", 2, 20);
   cr_assert_eq (fixture_find_endpoint (&f, "e0")->report.version, 2);
   fixture_clear (&f);
 }
@@ -377,7 +377,7 @@
   fixture_init (&f, 1);
   lc_endpoints_record_load_report (f.endpoints, "e0", &report, 10);
   cr_assert_eq (fixture_find_endpoint (&f, "e0")->report.running, 0);
-  cr_assert_not (fixture_can_accept_live_call (&f, "e0", 11),
+  cr_assert_not (fixture_can_endpoint_accept_live_call (&f, "e0", 11),
                  "version -3 must count as no known version");
   fixture_clear (&f);
 }
@@ -393,7 +393,7 @@
 
   fixture_init (&f, 1);
   f.members[0].reports_concurrency = true;
-  fixture_configure (&f, now);
+  fixture_apply_endpoint_set (&f, now);
   LcEndpoint *engine = lc_endpoints_find (f.endpoints, "e0");
   for (int i = 0; i < 8; i++)
     {
@@ -419,7 +419,7 @@
 
   fixture_init (&f, 2);
   f.members[0].reports_concurrency = true;
-  fixture_configure (&f, now);
+  fixture_apply_endpoint_set (&f, now);
   for (int i = 0; i < 2; i++)
     lc_endpoints_set_weight_swap_state (f.endpoints, f.members[i].name, true, now + LB_SEC, now);
   cr_assert_not (
@@ -442,7 +442,7 @@
   report.measured_at = now;
   lc_endpoints_record_load_report (f.endpoints, "e0", &report, now);
   strcpy (f.members[0].pool, "writer");
-  fixture_configure (&f, now);
+  fixture_apply_endpoint_set (&f, now);
   LcEndpoint *engine = lc_endpoints_find (f.endpoints, "e0");
   cr_assert_not (lc_endpoint_can_accept (engine, LC_KIND_SAMPLE, 0, now));
   report.version = 1;
--- a/packages/core/tests/test-engine-plan.c
+++ b/packages/core/tests/test-engine-plan.c
@@ -206,7 +206,7 @@
 /* Returns the sum over the models of the squared deviation from the share by demand, which
  * lc_engine_plan_rebalance reduces. */
 static double
-sum_squared_deviations (const RandomCase *random_case, const LcEnginePlan *plan)
+sum_squared_deviations_from_demand (const RandomCase *random_case, const LcEnginePlan *plan)
 {
   double total = 0;
   double sum = 0;
@@ -246,8 +246,8 @@
       cr_assert_eq (after.n_entries, random_case.n_engines,
                     "seed %lu: expected all engines in the plan", seed);
       if (random_case.n_engines > random_case.n_models && random_case.n_models > 1)
-        cr_assert_leq (sum_squared_deviations (&random_case, &after),
-                       sum_squared_deviations (&random_case, &before) + 1e-6,
+        cr_assert_leq (sum_squared_deviations_from_demand (&random_case, &after),
+                       sum_squared_deviations_from_demand (&random_case, &before) + 1e-6,
                        "seed %lu: rebalancing increased the deviation", seed);
       for (size_t i = 0; i < random_case.n_models; i++)
         cr_assert (count_engines_of_model (&after, random_case.models[i]) > 0
--- a/packages/core/tests/test-entry.c
+++ b/packages/core/tests/test-entry.c
@@ -9,7 +9,7 @@
 
 /* Fills in live instances in three data centres. */
 static void
-make_instance_views (LcMemberView *views)
+make_views_of_live_instances (LcMemberView *views)
 {
   memset (views, 0, N_INSTANCES * sizeof *views);
   for (int i = 0; i < N_INSTANCES; i++)
@@ -34,7 +34,7 @@
 }
 
 static void
-count_first_choices (const LcMemberView *views, const char *data_centre, int *counts)
+count_callers_by_first_instance (const LcMemberView *views, const char *data_centre, int *counts)
 {
   memset (counts, 0, N_INSTANCES * sizeof *counts);
   for (int caller = 0; caller < N_CALLERS; caller++)
@@ -45,7 +45,7 @@
 {
   LcMemberView views[N_INSTANCES];
 
-  make_instance_views (views);
+  make_views_of_live_instances (views);
   for (int caller = 0; caller < 1000; caller++)
     {
       LcEntryChoice choice = choose_instances_for_caller (views, caller, "hall-b");
@@ -62,14 +62,14 @@
   LcMemberView views[N_INSTANCES];
   int counts[N_INSTANCES];
 
-  make_instance_views (views);
-  count_first_choices (views, "hall-a", counts);
+  make_views_of_live_instances (views);
+  count_callers_by_first_instance (views, "hall-a", counts);
   for (int i = 0; i < N_INSTANCES; i += 3)
     cr_assert (counts[i] > N_CALLERS / 4 * 95 / 100 && counts[i] < N_CALLERS / 4 * 105 / 100,
                "%d of %d callers, expected a quarter with a tolerance of 5 %%", counts[i],
                N_CALLERS);
   views[0].instance.load = 500;
-  count_first_choices (views, "hall-a", counts);
+  count_callers_by_first_instance (views, "hall-a", counts);
   cr_assert (counts[0] > N_CALLERS / 7 * 9 / 10 && counts[0] < N_CALLERS / 7 * 11 / 10);
 }
 
@@ -80,7 +80,7 @@
 {
   LcMemberView views[N_INSTANCES];
 
-  make_instance_views (views);
+  make_views_of_live_instances (views);
   for (int caller = 0; caller < 2000; caller++)
     {
       views[3].alive = true;
@@ -102,7 +102,7 @@
   LcMemberView views[N_INSTANCES];
   size_t n_chosen = 0;
 
-  make_instance_views (views);
+  make_views_of_live_instances (views);
   for (int i = 0; i < N_INSTANCES; i += 3)
     {
       views[i].alive = i % 2 == 0;
--- a/packages/core/tests/test-fleet.c
+++ b/packages/core/tests/test-fleet.c
@@ -22,7 +22,7 @@
 static LbTime round_trip;
 
 static bool
-list_two_rows (LcFleet *fleet, int64_t version_a, int64_t version_b, LbTime now)
+apply_list_of_instances_a_and_b (LcFleet *fleet, int64_t version_a, int64_t version_b, LbTime now)
 {
   LcFleetRow a = make_fleet_row ("a", "1");
   LcFleetRow b = make_fleet_row ("b", "1");
@@ -53,16 +53,16 @@
   LbTime now = LB_SEC;
   int64_t version = 10;
 
-  list_two_rows (fleet, version, 5, now);
+  apply_list_of_instances_a_and_b (fleet, version, 5, now);
   cr_assert (is_member_alive (fleet, "b"));
   for (LbTime silence = 0; silence < 3 * RENEWAL_PERIOD; silence += RENEWAL_PERIOD)
     {
       now += RENEWAL_PERIOD;
-      list_two_rows (fleet, ++version, 5, now);
+      apply_list_of_instances_a_and_b (fleet, ++version, 5, now);
       cr_assert (is_member_alive (fleet, "b"));
     }
   now += RENEWAL_PERIOD;
-  cr_assert (list_two_rows (fleet, ++version, 5, now));
+  cr_assert (apply_list_of_instances_a_and_b (fleet, ++version, 5, now));
   cr_assert_not (is_member_alive (fleet, "b"));
   cr_assert (is_member_alive (fleet, "a"));
   lc_fleet_free (fleet);
@@ -76,15 +76,15 @@
   LbTime now = LB_SEC;
 
   round_trip = 250 * LB_MSEC;
-  list_two_rows (fleet, 1, 5, now);
+  apply_list_of_instances_a_and_b (fleet, 1, 5, now);
   for (int i = 0; i < 4; i++)
     {
       now += RENEWAL_PERIOD;
-      list_two_rows (fleet, 2 + i, 5, now);
+      apply_list_of_instances_a_and_b (fleet, 2 + i, 5, now);
       cr_assert (is_member_alive (fleet, "b"));
     }
   now += RENEWAL_PERIOD;
-  list_two_rows (fleet, 8, 5, now);
+  apply_list_of_instances_a_and_b (fleet, 8, 5, now);
   cr_assert_not (is_member_alive (fleet, "b"), "a slow store must not hide a dead instance");
   round_trip = 0;
   lc_fleet_free (fleet);
@@ -97,9 +97,9 @@
   LcFleet *fleet = lc_fleet_new ("a");
   LbTime now = LB_SEC;
 
-  list_two_rows (fleet, 1, 2, now);
+  apply_list_of_instances_a_and_b (fleet, 1, 2, now);
   now += 6 * LB_SEC;
-  list_two_rows (fleet, 1, 2, now);
+  apply_list_of_instances_a_and_b (fleet, 1, 2, now);
   cr_assert (is_member_alive (fleet, "b"));
   lc_fleet_free (fleet);
 }
@@ -112,16 +112,16 @@
   LcFleet *fleet = lc_fleet_new ("a");
   LbTime now = LB_SEC;
 
-  list_two_rows (fleet, 1, 2, now);
+  apply_list_of_instances_a_and_b (fleet, 1, 2, now);
   now += 4 * LB_SEC;
   for (int i = 0; i < 5; i++, now += RENEWAL_PERIOD)
     {
-      list_two_rows (fleet, 1, 2, now);
+      apply_list_of_instances_a_and_b (fleet, 1, 2, now);
       cr_assert (is_member_alive (fleet, "b"),
                  "expected b to be alive, but it is dead %d periods after the outage", i);
     }
   now += RENEWAL_PERIOD;
-  list_two_rows (fleet, 1, 2, now);
+  apply_list_of_instances_a_and_b (fleet, 1, 2, now);
   cr_assert_not (is_member_alive (fleet, "b"),
                  "expected b to be dead, since it did not renew again");
   lc_fleet_free (fleet);
@@ -219,10 +219,10 @@
   LcFleet *fleet = lc_fleet_new ("a");
   LbTime now = LB_SEC;
 
-  list_two_rows (fleet, 1, 5, now);
+  apply_list_of_instances_a_and_b (fleet, 1, 5, now);
   cr_assert (lc_fleet_member_at (fleet, 1)->fresh);
   now += 2 * RENEWAL_PERIOD;
-  list_two_rows (fleet, 2, 5, now);
+  apply_list_of_instances_a_and_b (fleet, 2, 5, now);
   cr_assert (lc_fleet_member_at (fleet, 1)->alive);
   cr_assert_not (lc_fleet_member_at (fleet, 1)->fresh);
   lc_fleet_free (fleet);
@@ -240,7 +240,7 @@
 /* Makes the fleet of an instance that has just started and listed the row of "b" once, when the
  * store's clock was at 100,000 ms. */
 static LcFleet *
-make_fleet_after_first_list (int64_t renewed_ms_of_b)
+make_fleet_after_first_list_with_b (int64_t renewed_ms_of_b)
 {
   LcFleet *fleet = lc_fleet_new ("a");
   LcFleetRow b = make_fleet_row ("b", "1");
@@ -259,7 +259,7 @@
  * since nothing listens there. */
 Test (fleet, an_old_row_seen_for_the_first_time_is_not_confirmed)
 {
-  LcFleet *fleet = make_fleet_after_first_list (100000 - 47000);
+  LcFleet *fleet = make_fleet_after_first_list_with_b (100000 - 47000);
 
   cr_assert_not (is_member_confirmed (fleet, "b"));
   cr_assert (is_member_alive (fleet, "b"),
@@ -271,7 +271,7 @@
  * instances at once, before each has renewed its row. */
 Test (fleet, a_recent_row_seen_for_the_first_time_is_confirmed)
 {
-  LcFleet *fleet = make_fleet_after_first_list (100000 - 900);
+  LcFleet *fleet = make_fleet_after_first_list_with_b (100000 - 900);
 
   cr_assert (is_member_confirmed (fleet, "b"));
   lc_fleet_free (fleet);
@@ -281,7 +281,7 @@
  * Only its next renewal may confirm it. */
 Test (fleet, the_next_renewal_confirms_an_instance)
 {
-  LcFleet *fleet = make_fleet_after_first_list (0);
+  LcFleet *fleet = make_fleet_after_first_list_with_b (0);
   LcFleetRow b = make_fleet_row ("b", "1");
 
   cr_assert_not (is_member_confirmed (fleet, "b"));
--- a/packages/core/tests/test-lease-ends.c
+++ b/packages/core/tests/test-lease-ends.c
@@ -1,12 +1,11 @@
+/* Tests of a lease's expiry, as computed by the holder and by candidates. Both allow for clock
+ * drift during the lease, and for the time that the last order takes to reach the engine. */
 #include "lb-alloc.h"
 #include "lc-lease.h"
 
 #include <criterion/criterion.h>
 #include <stdlib.h>
 
-/* Tests of a lease's expiry, as computed by the holder and by candidates. Both allow for clock
- * drift during the lease, and for the time that the last order takes to reach the engine. */
-
 #define CLAIMED_AT (10 * LB_SEC)
 #define LEASE_DURATION (4 * LB_SEC)
 #define MAX_CLOCK_DRIFT 0.01 /* default of max_clock_drift in the settings, as a fraction */
@@ -32,7 +31,7 @@
 /* Frees all actions. Copies the row of the last WRITE action to *row; returns false if there is
  * none. */
 static bool
-take_last_write (LbList *actions, LcLeaseRow *row)
+take_last_lease_row_write (LbList *actions, LcLeaseRow *row)
 {
   LbLink *link;
   bool found = false;
@@ -53,7 +52,7 @@
 /* Makes the lease of a holder that claimed at CLAIMED_AT and gets no answers from the store
  * afterwards. */
 static LcLease *
-make_held_lease (void)
+make_lease_held_since_claim (void)
 {
   LcLease *lease = make_candidate_lease ("a");
   LcLeaseRow row;
@@ -62,15 +61,15 @@
   lb_list_init (&actions);
   lc_lease_tick (lease, CLAIMED_AT, CLAIMED_AT, &actions);
   lc_lease_read_completed (lease, LB_ERROR_NOT_FOUND, NULL, 0, CLAIMED_AT, &actions);
-  cr_assert (take_last_write (&actions, &row));
+  cr_assert (take_last_lease_row_write (&actions, &row));
   lc_lease_write_completed (lease, LB_OK, CLAIMED_AT, &actions);
-  take_last_write (&actions, &row);
+  take_last_lease_row_write (&actions, &row);
   cr_assert (lc_lease_allows_order (lease, false, CLAIMED_AT));
   return lease;
 }
 
 static bool
-allows_order_after_ticks_until (LcLease *lease, LbTime end)
+is_order_allowed_after_ticks_until (LcLease *lease, LbTime end)
 {
   LcLeaseRow row;
   LbList actions;
@@ -78,7 +77,7 @@
   lb_list_init (&actions);
   for (LbTime now = CLAIMED_AT + TICK_INTERVAL; now < end; now += TICK_INTERVAL)
     lc_lease_tick (lease, now, now, &actions);
-  take_last_write (&actions, &row);
+  take_last_lease_row_write (&actions, &row);
   return lc_lease_allows_order (lease, false, end);
 }
 
@@ -87,18 +86,19 @@
  * has expired for others. It must stop so early that its last order arrives before that expiry. */
 Test (lease_ends, holder_with_a_slow_clock_stops_before_others_can_claim)
 {
-  LcLease *lease = make_held_lease ();
+  LcLease *lease = make_lease_held_since_claim ();
   LbTime expiry_for_others = CLAIMED_AT + (LbTime)(LEASE_DURATION / (1 + MAX_CLOCK_DRIFT));
 
-  cr_assert (allows_order_after_ticks_until (lease, CLAIMED_AT + 3800 * LB_MSEC),
+  cr_assert (is_order_allowed_after_ticks_until (lease, CLAIMED_AT + 3800 * LB_MSEC),
              "the holder stops earlier than it has to");
-  cr_assert_not (allows_order_after_ticks_until (lease, expiry_for_others - ORDER_TRANSIT_TIME));
+  cr_assert_not (
+      is_order_allowed_after_ticks_until (lease, expiry_for_others - ORDER_TRANSIT_TIME));
   lc_lease_free (lease);
 }
 
 /* Returns true if the candidate claims the lease after a read that started at `now`. */
 static bool
-claims_lease_at (LcLease *lease, LbTime now)
+does_candidate_claim_lease_at (LcLease *lease, LbTime now)
 {
   LcLeaseRow row = { .fence = 4, .holder = "a", .incarnation = "first" };
   LcLeaseRow claim;
@@ -108,7 +108,7 @@
   lc_lease_request_read (lease, now);
   lc_lease_tick (lease, now, now, &actions);
   lc_lease_read_completed (lease, LB_OK, &row, 7, now, &actions);
-  return take_last_write (&actions, &claim) && claim.fence == 5;
+  return take_last_lease_row_write (&actions, &claim) && claim.fence == 5;
 }
 
 /* Guards against a candidate that claims the lease while the holder may still give orders, because
@@ -119,9 +119,9 @@
   LcLease *lease = make_candidate_lease ("b");
   LbTime expiry_for_holder = CLAIMED_AT + (LbTime)(LEASE_DURATION * (1 + MAX_CLOCK_DRIFT));
 
-  cr_assert_not (claims_lease_at (lease, CLAIMED_AT));
-  cr_assert_not (claims_lease_at (lease, expiry_for_holder + ORDER_TRANSIT_TIME));
-  cr_assert (claims_lease_at (lease, expiry_for_holder + 200 * LB_MSEC),
+  cr_assert_not (does_candidate_claim_lease_at (lease, CLAIMED_AT));
+  cr_assert_not (does_candidate_claim_lease_at (lease, expiry_for_holder + ORDER_TRANSIT_TIME));
+  cr_assert (does_candidate_claim_lease_at (lease, expiry_for_holder + 200 * LB_MSEC),
              "the candidate waits longer than it has to");
   lc_lease_free (lease);
 }
