--- a/packages/core/tests/test-lease.c
+++ b/packages/core/tests/test-lease.c
@@ -58,7 +58,7 @@
 }
 
 static void
-start_holders (void)
+start_lease_holders (void)
 {
   static const char *const names[N_HOLDERS] = { "i1", "i2", "i3" };
   LcLeaseSettings settings;
@@ -85,17 +85,17 @@
 }
 
 static void
-free_holders (void)
+free_lease_holders (void)
 {
   for (int i = 0; i < N_HOLDERS; i++)
     lc_lease_free (holders[i].lease);
   gsl_rng_free (rng);
 }
 
-TestSuite (lease, .init = start_holders, .fini = free_holders);
+TestSuite (lease, .init = start_lease_holders, .fini = free_lease_holders);
 
 static LbTime
-random_table_delay (void)
+draw_table_delay (void)
 {
   return 1 + (LbTime)(gsl_rng_uniform (rng) * max_delay);
 }
@@ -111,12 +111,12 @@
                                .is_write = action->type == LC_LEASE_WRITE,
                                .row = action->row,
                                .version = action->expected_version,
-                               .apply_at = now + random_table_delay () };
-  operations[i].reply_at = operations[i].apply_at + random_table_delay ();
+                               .apply_at = now + draw_table_delay () };
+  operations[i].reply_at = operations[i].apply_at + draw_table_delay ();
 }
 
 static void
-carry_out_lease_actions (int holder, LbList *actions)
+start_operations_of_lease_actions (int holder, LbList *actions)
 {
   LbLink *link;
 
@@ -130,7 +130,7 @@
 }
 
 static void
-apply_operation_to_table (Operation *operation)
+apply_operation_to_lease_table (Operation *operation)
 {
   operation->is_applied = true;
   if (is_store_down || holders[operation->holder].is_cut_off)
@@ -159,7 +159,7 @@
 }
 
 static void
-deliver_table_reply (Operation *operation)
+deliver_table_reply_to_holder (Operation *operation)
 {
   LbList actions;
   int i = operation->holder;
@@ -173,11 +173,11 @@
   else
     lc_lease_read_completed (holder->lease, operation->result, &operation->row, operation->version,
                              read_holder_clock (holder), &actions);
-  carry_out_lease_actions (i, &actions);
+  start_operations_of_lease_actions (i, &actions);
 }
 
 static void
-advance_table_operations (void)
+apply_and_answer_due_table_operations (void)
 {
   for (int i = 0; i < MAX_TABLE_OPERATIONS; i++)
     {
@@ -185,15 +185,15 @@
       if (operation->holder < 0)
         continue;
       if (!operation->is_applied && now >= operation->apply_at)
-        apply_operation_to_table (operation);
+        apply_operation_to_lease_table (operation);
       if (operation->is_applied && now >= operation->reply_at
           && now >= holders[operation->holder].paused_until)
-        deliver_table_reply (operation);
+        deliver_table_reply_to_holder (operation);
     }
 }
 
 static void
-tick_holder (int i)
+tick_holder_if_due (int i)
 {
   LbList actions;
   Holder *holder = &holders[i];
@@ -203,11 +203,11 @@
   lb_list_init (&actions);
   holder->next_tick = now + holder->tick;
   lc_lease_tick (holder->lease, read_holder_clock (holder), now, &actions);
-  carry_out_lease_actions (i, &actions);
+  start_operations_of_lease_actions (i, &actions);
 }
 
 static bool
-has_write_in_progress (int holder)
+has_holder_write_in_progress (int holder)
 {
   for (int i = 0; i < MAX_TABLE_OPERATIONS; i++)
     if (operations[i].holder == holder && operations[i].is_write)
@@ -218,7 +218,7 @@
 /* Returns the index of the holder that may give orders now; -1 if none. Skips paused holders and
  * asserts that there is at most one. */
 static int
-find_active_holder (void)
+find_holder_that_can_order (void)
 {
   int active = -1;
 
@@ -234,14 +234,14 @@
 }
 
 static void
-run_simulation (LbTime duration)
+run_simulation_for (LbTime duration)
 {
   for (LbTime until = now + duration; now < until; now += TIME_STEP)
     {
-      find_active_holder ();
-      advance_table_operations ();
+      find_holder_that_can_order ();
+      apply_and_answer_due_table_operations ();
       for (int i = 0; i < N_HOLDERS; i++)
-        tick_holder (i);
+        tick_holder_if_due (i);
     }
 }
 
@@ -252,20 +252,21 @@
 {
   LbTime start = now;
 
-  while (now - start < limit && (find_active_holder () == before || find_active_holder () == -1))
-    run_simulation (TIME_STEP);
+  while (now - start < limit
+         && (find_holder_that_can_order () == before || find_holder_that_can_order () == -1))
+    run_simulation_for (TIME_STEP);
   return now - start;
 }
 
 Test (lease, first_candidate_holds_and_keeps_it)
 {
-  run_simulation (3 * LB_SEC);
-  cr_assert_eq (find_active_holder (), 0);
+  run_simulation_for (3 * LB_SEC);
+  cr_assert_eq (find_holder_that_can_order (), 0);
   int64_t fence = lc_lease_fencing_token (holders[0].lease);
   for (int i = 0; i < 60; i++)
     {
-      run_simulation (LB_SEC);
-      cr_assert_eq (find_active_holder (), 0);
+      run_simulation_for (LB_SEC);
+      cr_assert_eq (find_holder_that_can_order (), 0);
     }
   cr_assert_eq (lc_lease_fencing_token (holders[0].lease), fence);
 }
@@ -277,10 +278,10 @@
 {
   for (int i = 0; i < 20; i++)
     {
-      free_holders ();
-      start_holders ();
+      free_lease_holders ();
+      start_lease_holders ();
       gsl_rng_set (rng, (unsigned long)i + 1);
-      run_simulation (3 * LB_SEC + i * 50 * LB_MSEC);
+      run_simulation_for (3 * LB_SEC + i * 50 * LB_MSEC);
       int64_t fence = lc_lease_fencing_token (holders[0].lease);
       holders[0].paused_until = INT64_MAX;
       holders[1].paused_until = INT64_MAX;
@@ -289,7 +290,7 @@
       cr_assert_gt (lc_lease_fencing_token (holders[2].lease), fence);
       cr_assert_not (
           lc_lease_allows_order (holders[2].lease, true, read_holder_clock (&holders[2])));
-      run_simulation (10 * LB_SEC - gap);
+      run_simulation_for (10 * LB_SEC - gap);
       cr_assert (lc_lease_allows_order (holders[2].lease, true, read_holder_clock (&holders[2])));
     }
 }
@@ -298,28 +299,28 @@
  * instance has taken over, so an order would switch the engine back to an old version. */
 Test (lease, paused_holder_gives_no_order_on_resume)
 {
-  run_simulation (3 * LB_SEC);
+  run_simulation_for (3 * LB_SEC);
   holders[0].paused_until = now + 9 * LB_SEC;
-  run_simulation (9 * LB_SEC - TIME_STEP);
-  cr_assert_eq (find_active_holder (), 1);
+  run_simulation_for (9 * LB_SEC - TIME_STEP);
+  cr_assert_eq (find_holder_that_can_order (), 1);
   now += TIME_STEP;
   cr_assert_not (lc_lease_allows_order (holders[0].lease, false, read_holder_clock (&holders[0])));
-  run_simulation (5 * LB_SEC);
-  cr_assert_eq (find_active_holder (), 1);
+  run_simulation_for (5 * LB_SEC);
+  cr_assert_eq (find_holder_that_can_order (), 1);
 }
 
 /* The holder's machine is suspended together with its monotonic clock, so that on resume its lease
  * seems valid for seconds. The holder must detect the suspension by the jump of the wall clock. */
 Test (lease, suspended_holder_renews_before_giving_orders)
 {
-  run_simulation (3 * LB_SEC);
+  run_simulation_for (3 * LB_SEC);
   holders[0].paused_until = now + 9 * LB_SEC;
   holders[0].offset -= 9 * LB_SEC;
-  run_simulation (9 * LB_SEC);
-  tick_holder (0);
+  run_simulation_for (9 * LB_SEC);
+  tick_holder_if_due (0);
   cr_assert_not (lc_lease_allows_order (holders[0].lease, false, read_holder_clock (&holders[0])));
-  run_simulation (5 * LB_SEC);
-  cr_assert_eq (find_active_holder (), 1);
+  run_simulation_for (5 * LB_SEC);
+  cr_assert_eq (find_holder_that_can_order (), 1);
 }
 
 /* The holder's machine is suspended while a renewal is in progress. The reply arrives after another
@@ -327,14 +328,14 @@
 Test (lease, reply_from_before_a_suspension_confirms_nothing)
 {
   max_delay = LB_SEC;
-  run_simulation (3 * LB_SEC);
-  while (!has_write_in_progress (0))
-    run_simulation (TIME_STEP);
+  run_simulation_for (3 * LB_SEC);
+  while (!has_holder_write_in_progress (0))
+    run_simulation_for (TIME_STEP);
   holders[0].paused_until = now + 9 * LB_SEC;
   holders[0].offset -= 9 * LB_SEC;
-  run_simulation (9 * LB_SEC);
-  tick_holder (0);
-  advance_table_operations ();
+  run_simulation_for (9 * LB_SEC);
+  tick_holder_if_due (0);
+  apply_and_answer_due_table_operations ();
   cr_assert_not (lc_lease_allows_order (holders[0].lease, false, read_holder_clock (&holders[0])));
 }
 
@@ -344,12 +345,12 @@
 {
   for (int i = 0; i < 100; i++)
     {
-      free_holders ();
-      start_holders ();
+      free_lease_holders ();
+      start_lease_holders ();
       gsl_rng_set (rng, (unsigned long)i + 1);
       holders[0].rate = 0.995;
       holders[1].rate = 1.005;
-      run_simulation (3 * LB_SEC + i * 11 * LB_MSEC);
+      run_simulation_for (3 * LB_SEC + i * 11 * LB_MSEC);
       lc_lease_set_claim_rank (holders[1].lease, 0);
       holders[0].is_cut_off = true;
       holders[0].tick = TIME_STEP;
@@ -357,9 +358,9 @@
       for (int step = 0; step < 600; step++)
         {
           lc_lease_request_read (holders[1].lease, read_holder_clock (&holders[1]));
-          run_simulation (TIME_STEP);
+          run_simulation_for (TIME_STEP);
         }
-      cr_assert_eq (find_active_holder (), 1);
+      cr_assert_eq (find_holder_that_can_order (), 1);
     }
 }
 
@@ -367,11 +368,11 @@
  * Orders must be refused from the expiry on, not only after the next tick. */
 Test (lease, order_is_checked_against_the_expiry_itself)
 {
-  run_simulation (3 * LB_SEC);
+  run_simulation_for (3 * LB_SEC);
   holders[0].is_cut_off = true;
   holders[0].tick = 9 * LB_SEC / 10;
-  while (find_active_holder () == 0)
-    run_simulation (TIME_STEP);
+  while (find_holder_that_can_order () == 0)
+    run_simulation_for (TIME_STEP);
   cr_assert (lc_lease_is_held (holders[0].lease),
              "the lease was lost by a tick, so the check itself was not tested");
 }
@@ -380,15 +381,16 @@
  * orders only after a renewal. */
 Test (lease, short_pause_keeps_the_lease_after_a_renewal)
 {
-  run_simulation (3 * LB_SEC);
+  run_simulation_for (3 * LB_SEC);
   holders[0].paused_until = now + 3 * LB_SEC / 2;
-  run_simulation (3 * LB_SEC / 2);
-  cr_assert_eq (find_active_holder (), -1,
+  run_simulation_for (3 * LB_SEC / 2);
+  cr_assert_eq (find_holder_that_can_order (), -1,
                 "orders are allowed before the first tick after the pause");
-  tick_holder (0);
-  cr_assert_eq (find_active_holder (), -1, "orders are allowed before a renewal after the pause");
-  run_simulation (LB_SEC);
-  cr_assert_eq (find_active_holder (), 0);
+  tick_holder_if_due (0);
+  cr_assert_eq (find_holder_that_can_order (), -1,
+                "orders are allowed before a renewal after the pause");
+  run_simulation_for (LB_SEC);
+  cr_assert_eq (find_holder_that_can_order (), 0);
 }
 
 /* The holder drains and releases the lease: another instance must hold it within 3 s, without
@@ -398,30 +400,30 @@
   LbList actions;
 
   lb_list_init (&actions);
-  run_simulation (3 * LB_SEC);
+  run_simulation_for (3 * LB_SEC);
   lc_lease_release (holders[0].lease, read_holder_clock (&holders[0]), &actions);
-  carry_out_lease_actions (0, &actions);
-  cr_assert_eq (find_active_holder (), -1);
+  start_operations_of_lease_actions (0, &actions);
+  cr_assert_eq (find_holder_that_can_order (), -1);
   LbTime gap = run_until_other_holder_can_order (0, 10 * LB_SEC);
   cr_assert_leq (gap, 3 * LB_SEC);
   cr_assert (lc_lease_is_released (holders[0].lease, read_holder_clock (&holders[0])));
-  int next = find_active_holder ();
+  int next = find_holder_that_can_order ();
   cr_assert_gt (next, 0);
-  run_simulation (20 * LB_SEC);
-  cr_assert_eq (find_active_holder (), next);
+  run_simulation_for (20 * LB_SEC);
+  cr_assert_eq (find_holder_that_can_order (), next);
 }
 
 /* The store is unreachable. The holder must stop giving orders by itself when its lease expires,
  * and orders must be given again after the store returns. */
 Test (lease, store_outage_stops_orders)
 {
-  run_simulation (3 * LB_SEC);
+  run_simulation_for (3 * LB_SEC);
   is_store_down = true;
-  run_simulation (5 * LB_SEC);
-  cr_assert_eq (find_active_holder (), -1);
+  run_simulation_for (5 * LB_SEC);
+  cr_assert_eq (find_holder_that_can_order (), -1);
   is_store_down = false;
-  run_simulation (6 * LB_SEC);
-  cr_assert_neq (find_active_holder (), -1);
+  run_simulation_for (6 * LB_SEC);
+  cr_assert_neq (find_holder_that_can_order (), -1);
 }
 
 /* The reply to a claim is lost although the write took effect. The new holder must find its claim
@@ -429,8 +431,8 @@
 Test (lease, lost_reply_to_a_claim_is_read_back)
 {
   lost_reply_ratio = 1.0;
-  run_simulation (LB_SEC / 2);
-  cr_assert_eq (find_active_holder (), 0);
+  run_simulation_for (LB_SEC / 2);
+  cr_assert_eq (find_holder_that_can_order (), 0);
   cr_assert_eq (lc_lease_fencing_token (holders[0].lease), 1);
 }
 
@@ -441,24 +443,24 @@
   LbList actions;
 
   lb_list_init (&actions);
-  run_simulation (3 * LB_SEC);
+  run_simulation_for (3 * LB_SEC);
   lc_lease_release (holders[0].lease, read_holder_clock (&holders[0]), &actions);
-  carry_out_lease_actions (0, &actions);
+  start_operations_of_lease_actions (0, &actions);
   run_until_other_holder_can_order (0, 10 * LB_SEC);
-  int next = find_active_holder ();
+  int next = find_holder_that_can_order ();
   cr_assert_gt (next, 0);
   int64_t fence = lc_lease_fencing_token (holders[next].lease);
   stale_read_ratio = 0.7;
   for (int i = 0; i < 100; i++)
     {
-      run_simulation (LB_SEC / 10);
-      cr_assert_eq (find_active_holder (), next);
+      run_simulation_for (LB_SEC / 10);
+      cr_assert_eq (find_holder_that_can_order (), next);
     }
   cr_assert_eq (table_row.fence, fence);
 }
 
 /* Long randomised run: clocks 1 % apart, lost replies, stale reads, store outages, slow writes and
- * pauses. run_simulation asserts that there are never two holders; the fencing token must never
+ * pauses. run_simulation_for asserts that there are never two holders; the fencing token must never
  * decrease. */
 Test (lease, never_two_holders_in_a_long_run)
 {
@@ -477,8 +479,8 @@
       if (gsl_rng_uniform (rng) < 0.1)
         holders[gsl_rng_uniform_int (rng, N_HOLDERS)].paused_until
             = now + (LbTime)(gsl_rng_uniform (rng) * 12 * LB_SEC);
-      run_simulation (LB_SEC);
-      held += find_active_holder () >= 0;
+      run_simulation_for (LB_SEC);
+      held += find_holder_that_can_order () >= 0;
       cr_assert_geq (table_row.fence, fence);
       fence = table_row.fence;
     }
@@ -518,7 +520,7 @@
 /* Lets the candidate read, at time `at`, a row of holder "a" with this version. Returns true if the
  * candidate then claims the lease. */
 static bool
-claims_lease_at (LcLease *lease, int64_t version, LbTime at)
+does_candidate_claim_lease_at (LcLease *lease, int64_t version, LbTime at)
 {
   LcLeaseRow row = { .fence = 4 };
   LbList actions;
@@ -546,12 +548,12 @@
 {
   LcLease *lease = make_candidate_lease ();
 
-  cr_assert_not (claims_lease_at (lease, 7, 2 * LB_SEC));
+  cr_assert_not (does_candidate_claim_lease_at (lease, 7, 2 * LB_SEC));
   lc_lease_mark_holder_ended (lease, 6, 2 * LB_SEC);
-  cr_assert_not (claims_lease_at (lease, 7, 2100 * LB_MSEC),
+  cr_assert_not (does_candidate_claim_lease_at (lease, 7, 2100 * LB_MSEC),
                  "must not claim the lease: only an older version was marked as ended");
   lc_lease_mark_holder_ended (lease, 7, 2200 * LB_MSEC);
-  cr_assert (claims_lease_at (lease, 7, 2300 * LB_MSEC));
+  cr_assert (does_candidate_claim_lease_at (lease, 7, 2300 * LB_MSEC));
   lc_lease_free (lease);
 }
 
@@ -561,9 +563,9 @@
 {
   LcLease *lease = make_candidate_lease ();
 
-  cr_assert_not (claims_lease_at (lease, 7, 2 * LB_SEC));
+  cr_assert_not (does_candidate_claim_lease_at (lease, 7, 2 * LB_SEC));
   lc_lease_mark_holder_ended (lease, 7, 2 * LB_SEC);
-  cr_assert_not (claims_lease_at (lease, 8, 2100 * LB_MSEC));
+  cr_assert_not (does_candidate_claim_lease_at (lease, 8, 2100 * LB_MSEC));
   lc_lease_free (lease);
 }
 
@@ -577,7 +579,7 @@
   LcLeaseHolderView view
       = { .incarnation = "a-1", .row_version = 9, .endpoints_check_fence = true };
 
-  cr_assert_not (claims_lease_at (lease, 7, 2 * LB_SEC));
+  cr_assert_not (does_candidate_claim_lease_at (lease, 7, 2 * LB_SEC));
   cr_assert (lc_lease_holder_has_ended (lease, &view));
   view.endpoints_check_fence = false;
   cr_assert_not (lc_lease_holder_has_ended (lease, &view));
@@ -594,7 +596,7 @@
   LcLease *lease = make_candidate_lease ();
   LcLeaseHolderView view = { .incarnation = "a-2", .row_version = 9, .alive = true };
 
-  cr_assert_not (claims_lease_at (lease, 7, 2 * LB_SEC));
+  cr_assert_not (does_candidate_claim_lease_at (lease, 7, 2 * LB_SEC));
   cr_assert (lc_lease_holder_has_ended (lease, &view));
   view.row_version = 6;
   cr_assert_not (lc_lease_holder_has_ended (lease, &view));
@@ -604,7 +606,7 @@
 /* Simulates the table for one instance: answers a read with a row of `holder` and `fence`, and
  * confirms the claim that the instance may write next. */
 static void
-answer_read_and_claim (LcLease *lease, const char *holder, int64_t fence, LbTime at)
+answer_lease_read_and_confirm_claim (LcLease *lease, const char *holder, int64_t fence, LbTime at)
 {
   LcLeaseRow row = { .fence = fence, .released = strcmp (holder, "nobody") == 0 };
   LbList actions;
@@ -649,20 +651,20 @@
 {
   LcLease *lease = make_lease_with_reacquire_delay ();
 
-  answer_read_and_claim (lease, "nobody", 4, 2 * LB_SEC);
+  answer_lease_read_and_confirm_claim (lease, "nobody", 4, 2 * LB_SEC);
   cr_assert (lc_lease_allows_order (lease, false, 2 * LB_SEC));
-  answer_read_and_claim (lease, "a", 6, 4 * LB_SEC);
+  answer_lease_read_and_confirm_claim (lease, "a", 6, 4 * LB_SEC);
   cr_assert_not (lc_lease_is_held (lease));
-  answer_read_and_claim (lease, "nobody", 7, 5 * LB_SEC);
+  answer_lease_read_and_confirm_claim (lease, "nobody", 7, 5 * LB_SEC);
   cr_assert (lc_lease_is_held (lease));
   for (LbTime at = 5 * LB_SEC; at < 7 * LB_SEC; at += LB_SEC / 2)
     {
-      answer_read_and_claim (lease, "b", 8, at);
+      answer_lease_read_and_confirm_claim (lease, "b", 8, at);
       cr_assert_not (lc_lease_allows_order (lease, false, at),
                      "orders are allowed at %lld us, before the end of reacquire_delay",
                      (long long)at);
     }
-  answer_read_and_claim (lease, "b", 8, 7 * LB_SEC);
+  answer_lease_read_and_confirm_claim (lease, "b", 8, 7 * LB_SEC);
   cr_assert (lc_lease_allows_order (lease, false, 7100 * LB_MSEC),
              "no orders although reacquire_delay is over");
   lc_lease_free (lease);
--- a/packages/core/tests/test-load-time.c
+++ b/packages/core/tests/test-load-time.c
@@ -13,7 +13,10 @@
  * plus or minus up to half of jitter. fixed_delay: time from the start of a load to its first poll;
  * fixed_interval: time between polls; 0 for both: as computed by lc-load-time. */
 static PollResult
-simulate_loads (LbTime visible_after, LbTime jitter, LbTime fixed_delay, LbTime fixed_interval)
+simulate_polling_of_weight_loads (LbTime visible_after,
+                                  LbTime jitter,
+                                  LbTime fixed_delay,
+                                  LbTime fixed_interval)
 {
   enum
   {
@@ -45,8 +48,9 @@
  * detection of the end of a load delays the next load, and steps wait for new weights. */
 Test (load_time, end_of_a_load_is_detected_soon)
 {
-  PollResult fixed = simulate_loads (1120 * LB_MSEC, 60 * LB_MSEC, 1010 * LB_MSEC, 120 * LB_MSEC);
-  PollResult learned = simulate_loads (1120 * LB_MSEC, 60 * LB_MSEC, 0, 0);
+  PollResult fixed = simulate_polling_of_weight_loads (1120 * LB_MSEC, 60 * LB_MSEC, 1010 * LB_MSEC,
+                                                       120 * LB_MSEC);
+  PollResult learned = simulate_polling_of_weight_loads (1120 * LB_MSEC, 60 * LB_MSEC, 0, 0);
 
   cr_assert_geq (fixed.delay, 45 * LB_MSEC, "the mean delay is %lld us, expected at least 45000",
                  (long long)fixed.delay);
@@ -59,8 +63,8 @@
  * concurrent loads. */
 Test (load_time, polls_adapt_to_long_and_short_loads)
 {
-  PollResult slow = simulate_loads (3400 * LB_MSEC, 200 * LB_MSEC, 0, 0);
-  PollResult quick = simulate_loads (400 * LB_MSEC, 40 * LB_MSEC, 0, 0);
+  PollResult slow = simulate_polling_of_weight_loads (3400 * LB_MSEC, 200 * LB_MSEC, 0, 0);
+  PollResult quick = simulate_polling_of_weight_loads (400 * LB_MSEC, 40 * LB_MSEC, 0, 0);
 
   cr_assert_leq (slow.delay, 150 * LB_MSEC, "the mean delay is %lld us, expected at most 150000",
                  (long long)slow.delay);
--- a/packages/core/tests/test-membership.c
+++ b/packages/core/tests/test-membership.c
@@ -21,7 +21,7 @@
 }
 
 static void
-run_peers_for (FakePeers *peers, LbTime duration)
+run_fake_peers_for (FakePeers *peers, LbTime duration)
 {
   fake_peers_run_until (peers, fake_peers_now (peers) + duration);
 }
@@ -50,10 +50,10 @@
 
   fake_peers_set_instance_state (peers, 5, FAKE_KILLED);
   fake_peers_set_instance_state (peers, 9, FAKE_UNREACHABLE);
-  run_peers_for (peers, 3 * LB_SEC);
+  run_fake_peers_for (peers, 3 * LB_SEC);
   cr_assert_eq (fake_peers_count_observers_listing (peers, 5), 0);
   cr_assert_eq (fake_peers_count_observers_listing (peers, 9), 0);
-  run_peers_for (peers, 5 * LB_SEC);
+  run_fake_peers_for (peers, 5 * LB_SEC);
   cr_assert_eq (fake_peers_observed_state (peers, 0, 9), LC_INSTANCE_DEAD);
   cr_assert_eq (fake_peers_count_converged_instances (peers), N_INSTANCES - 2);
   fake_peers_free (peers);
@@ -68,14 +68,14 @@
 
   for (size_t i = 1; i < N_INSTANCES; i++)
     fake_peers_drop_messages_on_open_links (peers, 0, i);
-  run_peers_for (peers, 3 * LB_SEC);
+  run_fake_peers_for (peers, 3 * LB_SEC);
   LcMembershipTotals totals = sum_membership_totals (peers, N_INSTANCES);
   cr_assert_geq (totals.connection_timeouts, 3);
   cr_assert_eq (totals.suspected, 0);
   cr_assert_eq (fake_peers_count_converged_instances (peers), N_INSTANCES);
-  run_peers_for (peers, 60 * LB_SEC);
+  run_fake_peers_for (peers, 60 * LB_SEC);
   totals = sum_membership_totals (peers, N_INSTANCES);
-  run_peers_for (peers, 120 * LB_SEC);
+  run_fake_peers_for (peers, 120 * LB_SEC);
   cr_assert_eq (sum_membership_totals (peers, N_INSTANCES).connection_timeouts,
                 totals.connection_timeouts);
   cr_assert_eq (totals.suspected, 0);
@@ -93,16 +93,16 @@
 
   lb_list_init (&actions);
   fake_peers_reset_traffic_bytes (peers);
-  run_peers_for (peers, 20 * LB_SEC);
+  run_fake_peers_for (peers, 20 * LB_SEC);
   int64_t before = fake_peers_traffic_bytes (peers, 0);
   for (size_t i = 1; i < N_INSTANCES; i++)
     cr_assert (lc_membership_keep_connected (
         first, lc_membership_self (fake_peers_membership (peers, i))->name,
         fake_peers_now (peers) + 60 * LB_SEC, fake_peers_now (peers), &actions));
   fake_peers_execute_membership_actions (peers, 0, &actions);
-  run_peers_for (peers, 5 * LB_SEC);
+  run_fake_peers_for (peers, 5 * LB_SEC);
   fake_peers_reset_traffic_bytes (peers);
-  run_peers_for (peers, 20 * LB_SEC);
+  run_fake_peers_for (peers, 20 * LB_SEC);
   for (size_t i = 1; i < N_INSTANCES; i++)
     cr_assert_neq (lc_membership_find_link (
                        first, lc_membership_self (fake_peers_membership (peers, i))->name),
@@ -128,15 +128,15 @@
       lc_membership_keep_connected (first, name, fake_peers_now (peers) + 60 * LB_SEC,
                                     fake_peers_now (peers), &actions);
       fake_peers_execute_membership_actions (peers, 0, &actions);
-      run_peers_for (peers, 10 * LB_SEC);
+      run_fake_peers_for (peers, 10 * LB_SEC);
       LcLinkId silent = lc_membership_find_link (first, name);
       lc_membership_frame_sent (first, silent, fake_peers_now (peers));
-      run_peers_for (peers, 5 * LB_SEC);
+      run_fake_peers_for (peers, 5 * LB_SEC);
       cr_assert_eq (lc_membership_find_link (first, name), silent,
                     "a healthy connection was closed");
       fake_peers_drop_messages_on_open_links (peers, 0, i);
       lc_membership_frame_sent (first, silent, fake_peers_now (peers));
-      run_peers_for (peers, 3 * LB_SEC);
+      run_fake_peers_for (peers, 3 * LB_SEC);
       cr_assert_neq (lc_membership_find_link (first, name), silent);
       cr_assert_neq (lc_membership_find_link (first, name), 0);
       break;
@@ -146,9 +146,9 @@
   fake_peers_free (peers);
 }
 
-/* An instance dies, and another member is watched in its place, on a connection that was idle
- * without fault. If the silence were counted from the last frame on the connection, it would be
- * closed as silent, and callers would not be sent to a healthy instance. */
+/* An instance dies, and another member is monitored instead, over a healthy connection that
+ * was idle. If the silence were counted from the last frame on the connection, the connection would
+ * be closed as silent, and callers would not be sent to a healthy instance. */
 Test (membership, an_idle_connection_is_not_silent_when_it_becomes_watched)
 {
   const size_t count = 6;
@@ -163,11 +163,11 @@
                                   lc_membership_self (fake_peers_membership (peers, i))->name,
                                   until, fake_peers_now (peers), &actions);
   fake_peers_execute_membership_actions (peers, 0, &actions);
-  run_peers_for (peers, 20 * LB_SEC);
+  run_fake_peers_for (peers, 20 * LB_SEC);
   for (size_t i = 1; i < count - 1; i++)
     {
       fake_peers_set_instance_state (peers, i, FAKE_KILLED);
-      run_peers_for (peers, 5 * LB_SEC);
+      run_fake_peers_for (peers, 5 * LB_SEC);
       cr_assert_eq (lc_membership_totals (first).connection_timeouts, 0);
     }
   fake_peers_free (peers);
@@ -181,11 +181,11 @@
   FakePeers *peers = start_converged_cluster (N_INSTANCES);
 
   fake_peers_set_instance_state (peers, 3, FAKE_PAUSED);
-  run_peers_for (peers, 10 * LB_SEC);
+  run_fake_peers_for (peers, 10 * LB_SEC);
   cr_assert_eq (fake_peers_count_observers_listing (peers, 3), 0);
   cr_assert_eq (fake_peers_observed_state (peers, 0, 3), LC_INSTANCE_DEAD);
   fake_peers_set_instance_state (peers, 3, FAKE_RUNNING);
-  run_peers_for (peers, 3 * LB_SEC);
+  run_fake_peers_for (peers, 3 * LB_SEC);
   cr_assert_eq (fake_peers_count_converged_instances (peers), N_INSTANCES);
   LcMembershipTotals own = lc_membership_totals (fake_peers_membership (peers, 3));
   cr_assert_eq (own.own_pauses, 1);
@@ -203,15 +203,15 @@
   FakePeers *peers = start_converged_cluster (count);
 
   fake_peers_set_instance_state (peers, 0, FAKE_KILLED); /* instance 0 is the only seed */
-  run_peers_for (peers, 10 * LB_SEC);
+  run_fake_peers_for (peers, 10 * LB_SEC);
   for (size_t i = 1; i < count; i += 3)
     fake_peers_set_partition_group (peers, i, 1);
-  run_peers_for (peers, 3600 * LB_SEC);
+  run_fake_peers_for (peers, 3600 * LB_SEC);
   cr_assert_eq (fake_peers_count_observers_listing (peers, 1), 3);
   cr_assert_eq (fake_peers_count_observers_listing (peers, 2), 7);
   for (size_t i = 1; i < count; i++)
     fake_peers_set_partition_group (peers, i, 0);
-  run_peers_for (peers, 10 * LB_SEC);
+  run_fake_peers_for (peers, 10 * LB_SEC);
   cr_assert_eq (fake_peers_count_converged_instances (peers), count - 1);
   fake_peers_free (peers);
 }
@@ -235,7 +235,7 @@
       }
   for (int second = 0; second < 120; second++)
     {
-      run_peers_for (peers, LB_SEC);
+      run_fake_peers_for (peers, LB_SEC);
       n_disagreements += fake_peers_count_converged_instances (peers) < N_INSTANCES - 2;
     }
   cr_assert_leq (n_disagreements, 1);
@@ -255,7 +255,7 @@
   lc_membership_mark_self_draining (fake_peers_membership (peers, 4), fake_peers_now (peers),
                                     &actions);
   fake_peers_execute_membership_actions (peers, 4, &actions);
-  run_peers_for (peers, LB_SEC);
+  run_fake_peers_for (peers, LB_SEC);
   cr_assert_eq (fake_peers_count_observers_listing (peers, 4), 0);
   cr_assert_eq (fake_peers_observed_state (peers, 0, 4), LC_INSTANCE_ALIVE);
   fake_peers_free (peers);
@@ -272,9 +272,9 @@
 
   lc_membership_find_instance (fake_peers_membership (peers, 0), "instance-6", &before);
   fake_peers_set_instance_state (peers, 6, FAKE_KILLED);
-  run_peers_for (peers, LB_SEC);
+  run_fake_peers_for (peers, LB_SEC);
   fake_peers_start_instance (peers, 6);
-  run_peers_for (peers, 5 * LB_SEC);
+  run_fake_peers_for (peers, 5 * LB_SEC);
   cr_assert_eq (fake_peers_count_converged_instances (peers), N_INSTANCES);
 
   lb_list_init (&actions);
@@ -306,12 +306,12 @@
       LB_COPY (rival.incarnation, "rival");
       rival.epoch++;
       lc_membership_updates_received (first, 0, &rival, 1, fake_peers_now (peers), &actions);
-      run_peers_for (peers, 10 * LB_MSEC);
+      run_fake_peers_for (peers, 10 * LB_MSEC);
       if (i == 50)
         cr_assert_eq (lc_membership_totals (first).name_conflicts, 1);
     }
   cr_assert_eq (lc_membership_totals (first).name_conflicts, 1);
-  run_peers_for (peers, 10 * LB_SEC);
+  run_fake_peers_for (peers, 10 * LB_SEC);
   cr_assert_eq (lc_membership_totals (first).name_conflicts, 2);
   cr_assert_eq (fake_peers_count_converged_instances (peers), 6);
   fake_peers_free (peers);
@@ -331,12 +331,12 @@
   lb_list_init (&actions);
   for (size_t i = 1; i < 4; i++)
     fake_peers_start_instance (peers, i);
-  run_peers_for (peers, 10 * LB_SEC);
+  run_fake_peers_for (peers, 10 * LB_SEC);
   cr_assert_eq (fake_peers_count_converged_instances (peers), 0);
   for (size_t i = 1; i < 4; i++)
     lc_membership_apply_platform_list (fake_peers_membership (peers, i), listed, 3,
                                        fake_peers_now (peers), &actions);
-  run_peers_for (peers, 10 * LB_SEC);
+  run_fake_peers_for (peers, 10 * LB_SEC);
   cr_assert_eq (fake_peers_count_converged_instances (peers), 3);
 
   listed[1].leaving = true;
@@ -363,7 +363,7 @@
     lb_list_remove (&actions, &action->link_in_list);
     lc_membership_action_free (action);
   }
-  run_peers_for (peers, 10 * LB_SEC);
+  run_fake_peers_for (peers, 10 * LB_SEC);
   cr_assert_eq (fake_peers_count_observers_listing (peers, 4), 0);
   fake_peers_free (peers);
 }
--- a/packages/core/tests/test-organisations.c
+++ b/packages/core/tests/test-organisations.c
@@ -23,10 +23,10 @@
 }
 
 static LcAdmission
-decide_admission (const LcOrganisations *organisations,
-                  LbTime age,
-                  bool strict,
-                  LcAdmissionCall call)
+decide_call_admission (const LcOrganisations *organisations,
+                       LbTime age,
+                       bool strict,
+                       LcAdmissionCall call)
 {
   const LcAdmissionRules rules
       = { .refuse_unconfirmed = strict, .max_unconfirmed_age = 5 * LB_SEC };
@@ -50,8 +50,9 @@
 Test (organisations, key_identifies_its_organisation)
 {
   LcOrganisations *organisations = new_organisations_named_post_and_mill ();
-  LcAdmission admission = decide_admission (organisations, 0, false,
-                                            (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 1 });
+  LcAdmission admission
+      = decide_call_admission (organisations, 0, false,
+                               (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 1 });
 
   cr_assert_eq (admission.error, LB_OK);
   cr_assert_str_eq (admission.organisation.name, "mill");
@@ -75,8 +76,9 @@
   long_key[sizeof long_key - 1] = '\0';
   for (size_t i = 0; i < sizeof keys / sizeof keys[0]; i++)
     {
-      LcAdmission admission = decide_admission (organisations, 0, false,
-                                                (LcAdmissionCall){ .key = keys[i], .n_keys = 1 });
+      LcAdmission admission
+          = decide_call_admission (organisations, 0, false,
+                                   (LcAdmissionCall){ .key = keys[i], .n_keys = 1 });
       cr_assert_eq (admission.error, LB_ERROR_UNAUTHORIZED,
                     "key %zu: expected LB_ERROR_UNAUTHORIZED", i);
       cr_assert_str_eq (admission.organisation.name, "");
@@ -89,8 +91,9 @@
 Test (organisations, call_with_two_keys_is_a_bad_request)
 {
   LcOrganisations *organisations = new_organisations_named_post_and_mill ();
-  LcAdmission admission = decide_admission (organisations, 0, false,
-                                            (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 2 });
+  LcAdmission admission
+      = decide_call_admission (organisations, 0, false,
+                               (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 2 });
 
   cr_assert_eq (admission.error, LB_ERROR_BAD_REQUEST);
   lc_organisations_free (organisations);
@@ -100,14 +103,14 @@
 {
   LcOrganisations *organisations = new_organisations_named_post_and_mill ();
 
-  cr_assert_eq (decide_admission (NULL, 0, true, (LcAdmissionCall){ 0 }).error, LB_OK);
-  cr_assert_eq (decide_admission (organisations, 60 * LB_SEC, true,
-                                  (LcAdmissionCall){ .is_public = true })
+  cr_assert_eq (decide_call_admission (NULL, 0, true, (LcAdmissionCall){ 0 }).error, LB_OK);
+  cr_assert_eq (decide_call_admission (organisations, 60 * LB_SEC, true,
+                                       (LcAdmissionCall){ .is_public = true })
                     .error,
                 LB_OK);
-  cr_assert_str_eq (decide_admission (organisations, 0, false,
-                                      (LcAdmissionCall){
-                                          .key = "key-of-mill", .n_keys = 1, .is_public = true })
+  cr_assert_str_eq (decide_call_admission (
+                        organisations, 0, false,
+                        (LcAdmissionCall){ .key = "key-of-mill", .n_keys = 1, .is_public = true })
                         .organisation.name,
                     "", "calls to a public route belong to no organisation");
   lc_organisations_free (organisations);
@@ -118,8 +121,9 @@
 Test (organisations, unknown_key_is_rejected_temporarily_while_the_view_is_stale)
 {
   LcOrganisations *organisations = new_organisations_named_post_and_mill ();
-  LcAdmission admission = decide_admission (organisations, 2 * LB_SEC, false,
-                                            (LcAdmissionCall){ .key = "key-of-new", .n_keys = 1 });
+  LcAdmission admission
+      = decide_call_admission (organisations, 2 * LB_SEC, false,
+                               (LcAdmissionCall){ .key = "key-of-new", .n_keys = 1 });
 
   cr_assert_eq (admission.error, LB_ERROR_NOT_READY);
   cr_assert_gt (admission.retry_after, 0);
@@ -134,9 +138,10 @@
   LcOrganisations *organisations = new_organisations_named_post_and_mill ();
   const LcAdmissionCall call = { .key = "key-of-post", .n_keys = 1 };
 
-  cr_assert_eq (decide_admission (organisations, 4 * LB_SEC, true, call).error, LB_OK);
-  cr_assert_eq (decide_admission (organisations, 5 * LB_SEC, true, call).error, LB_ERROR_NOT_READY);
-  cr_assert_eq (decide_admission (organisations, 60 * LB_SEC, false, call).error, LB_OK);
+  cr_assert_eq (decide_call_admission (organisations, 4 * LB_SEC, true, call).error, LB_OK);
+  cr_assert_eq (decide_call_admission (organisations, 5 * LB_SEC, true, call).error,
+                LB_ERROR_NOT_READY);
+  cr_assert_eq (decide_call_admission (organisations, 60 * LB_SEC, false, call).error, LB_OK);
   lc_organisations_free (organisations);
 }
 
--- a/packages/core/tests/test-prefix-belief.c
+++ b/packages/core/tests/test-prefix-belief.c
@@ -1,7 +1,7 @@
 #include "endpoints-fixture.h"
 
 static double
-expected_cached_share (Fixture *f, const char *name, uint64_t prefix, LbTime now)
+get_expected_cached_share_of_prefix (Fixture *f, const char *name, uint64_t prefix, LbTime now)
 {
   return lc_endpoint_cached_prompt_share (fixture_find_endpoint (f, name), &prefix, 1, now);
 }
@@ -16,12 +16,12 @@
   fixture_init (&f, 1);
   lc_endpoints_apply_cache_event (f.endpoints, "e0", 1, true, 77, 10);
 
-  double before = expected_cached_share (&f, "e0", 77, 11);
+  double before = get_expected_cached_share_of_prefix (&f, "e0", 77, 11);
 
   cr_assert_gt (before, 0.99);
   lc_endpoints_apply_cache_event (f.endpoints, "e0", 400, true, 78, 12);
-  cr_assert_lt (expected_cached_share (&f, "e0", 77, 13), 0.5 * before);
-  cr_assert_gt (expected_cached_share (&f, "e0", 78, 13), 0.99);
+  cr_assert_lt (get_expected_cached_share_of_prefix (&f, "e0", 77, 13), 0.5 * before);
+  cr_assert_gt (get_expected_cached_share_of_prefix (&f, "e0", 78, 13), 0.99);
   fixture_clear (&f);
 }
 
@@ -35,7 +35,7 @@
   lc_endpoints_apply_cache_event (f.endpoints, "e0", 1, true, 77, 10);
   lc_endpoints_apply_cache_event (f.endpoints, "e0", 3, false, 77, 11);
   lc_endpoints_apply_cache_event (f.endpoints, "e0", 2, true, 77, 12);
-  cr_assert_eq (expected_cached_share (&f, "e0", 77, 13), 0);
+  cr_assert_eq (get_expected_cached_share_of_prefix (&f, "e0", 77, 13), 0);
   fixture_clear (&f);
 }
 
@@ -46,12 +46,12 @@
   Fixture f;
 
   fixture_init (&f, 1);
-  fixture_record_report (&f, "e0", "a", 1, 5);
+  fixture_record_load_report (&f, "e0", "a", 1, 5);
   lc_endpoints_apply_cache_event (f.endpoints, "e0", 900, true, 77, 10);
-  fixture_record_report (&f, "e0", "b", 1, 20);
-  cr_assert_eq (expected_cached_share (&f, "e0", 77, 21), 0);
+  fixture_record_load_report (&f, "e0", "b", 1, 20);
+  cr_assert_eq (get_expected_cached_share_of_prefix (&f, "e0", 77, 21), 0);
   lc_endpoints_apply_cache_event (f.endpoints, "e0", 1, true, 78, 22);
-  cr_assert_gt (expected_cached_share (&f, "e0", 78, 23), 0.99);
+  cr_assert_gt (get_expected_cached_share_of_prefix (&f, "e0", 78, 23), 0.99);
   fixture_clear (&f);
 }
 
@@ -64,11 +64,11 @@
   fixture_init (&f, 2);
   lc_endpoints_apply_cache_event (f.endpoints, "e1", 1, true, 77, 10);
   f.set.n_endpoints = 1;
-  fixture_configure (&f, 11);
+  fixture_apply_endpoint_set (&f, 11);
   strcpy (f.members[1].name, "other");
   f.set.n_endpoints = 2;
-  fixture_configure (&f, 12);
-  cr_assert_eq (expected_cached_share (&f, "other", 77, 13), 0);
+  fixture_apply_endpoint_set (&f, 12);
+  cr_assert_eq (get_expected_cached_share_of_prefix (&f, "other", 77, 13), 0);
   fixture_clear (&f);
 }
 
@@ -94,7 +94,7 @@
   fixture_init (&f, 1);
   for (uint64_t i = 1; i <= 100000; i++)
     lc_endpoints_apply_cache_event (f.endpoints, "e0", i, true, i, 10);
-  cr_assert_eq (expected_cached_share (&f, "e0", 1, 11), 0);
-  cr_assert_gt (expected_cached_share (&f, "e0", 100000, 11), 0.99);
+  cr_assert_eq (get_expected_cached_share_of_prefix (&f, "e0", 1, 11), 0);
+  cr_assert_gt (get_expected_cached_share_of_prefix (&f, "e0", 100000, 11), 0.99);
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-resources.c
+++ b/packages/core/tests/test-resources.c
@@ -25,7 +25,7 @@
 }
 
 static LcResourceSet *
-apply_change_text (const LcResourceSet *set, const char *text, LbError *error)
+apply_json_change_to_set (const LcResourceSet *set, const char *text, LbError *error)
 {
   struct json_object *object = json_tokener_parse (text);
   LcResourceSet *next = lc_change_apply_to_resource_set (set, object, "c.json", error);
@@ -121,12 +121,12 @@
   LcResourceSet *set
       = parse_resource_list (POOL "," ENGINE ("e3", "127.0.0.1:3") "," ENGINE ("e5", "127.0.0.1:5"),
                              &error);
-  LcResourceSet *next
-      = apply_change_text (set,
-                           "{\"apply\":[" ENGINE ("e4", "127.0.0.1:4") "," ENGINE ("e9",
-                                                                                   "127.0.0.1:9") //
-                           "," ENGINE ("e1", "127.0.0.1:1") "," ENGINE ("e3", "127.0.0.1:33") "]}",
-                           &error);
+  LcResourceSet *next = apply_json_change_to_set (
+      set,
+      "{\"apply\":[" ENGINE ("e4", "127.0.0.1:4") "," ENGINE ("e9",
+                                                              "127.0.0.1:9") //
+      "," ENGINE ("e1", "127.0.0.1:1") "," ENGINE ("e3", "127.0.0.1:33") "]}",
+      &error);
 
   cr_assert_eq (next->n_endpoints, 5);
   cr_assert_str_eq (lc_resource_set_find_endpoint (next, "e3")->address, "127.0.0.1:33");
@@ -140,7 +140,7 @@
 {
   LbError error;
   LcResourceSet *set = parse_resource_list (POOL "," ENGINE ("e1", "127.0.0.1:1"), &error);
-  LcResourceSet *next = apply_change_text (
+  LcResourceSet *next = apply_json_change_to_set (
       set,
       "{\"apply\":[" ENGINE ("e2",
                              "127.0.0.1:2") ",{\"kind\":\"pool\",\"name\":"
@@ -163,14 +163,15 @@
   LcResourceSet *set = parse_resource_list (POOL "," ENGINE ("e1", "127.0.0.1:1"), &error);
 
   cr_assert_null (
-      apply_change_text (set, "{\"delete\":[{\"kind\":\"pool\",\"name\":\"reader\"}]}", &error));
+      apply_json_change_to_set (set, "{\"delete\":[{\"kind\":\"pool\",\"name\":\"reader\"}]}",
+                                &error));
   cr_assert_eq (error.code, LB_ERROR_BAD_REFERENCE);
   cr_assert_null (
-      apply_change_text (set, "{\"delete\":[{\"kind\":\"pool\",\"name\":\"x\"}]}", &error));
+      apply_json_change_to_set (set, "{\"delete\":[{\"kind\":\"pool\",\"name\":\"x\"}]}", &error));
   cr_assert_eq (error.code, LB_ERROR_UNKNOWN_RESOURCE);
-  cr_assert_null (apply_change_text (set, "{\"apply\":[" POOL "," POOL "]}", &error));
+  cr_assert_null (apply_json_change_to_set (set, "{\"apply\":[" POOL "," POOL "]}", &error));
   cr_assert_eq (error.code, LB_ERROR_BAD_VALUE);
-  cr_assert_null (apply_change_text (set, "{\"aply\":[]}", &error));
+  cr_assert_null (apply_json_change_to_set (set, "{\"aply\":[]}", &error));
   cr_assert_eq (error.code, LB_ERROR_UNKNOWN_KEY);
   lc_resource_set_free (set);
 }
--- a/packages/core/tests/test-retry.c
+++ b/packages/core/tests/test-retry.c
@@ -78,35 +78,35 @@
   fixture_init (&f, &settings, 4, 10);
   for (int i = 0; i < 200; i++)
     {
-      LcRequestSpec good = fixture_new_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec good = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-      cr_assert (fixture_submit (&f, &good));
+      cr_assert (fixture_submit_request (&f, &good));
       fixture_end_attempt (&f, good.id, 1, LC_END_COMPLETE);
     }
   for (int i = 0; i < 4; i++)
     {
-      LcRequestSpec bad = fixture_new_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec bad = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
       LB_COPY (bad.caller, "bad");
-      cr_assert (fixture_submit (&f, &bad));
-      fixture_expect_action (&f, LC_ACTION_SEND, bad.id);
+      cr_assert (fixture_submit_request (&f, &bad));
+      fixture_expect_action_of_request (&f, LC_ACTION_SEND, bad.id);
       for (uint32_t attempt = 1; attempt < 10; attempt++)
         {
           fixture_end_attempt (&f, bad.id, attempt, LC_END_BROKEN);
-          fixture_tick_at (&f, f.now + 3 * LB_SEC);
-          n_retries += fixture_take_action (&f, LC_ACTION_SEND, bad.id, &action);
+          fixture_tick_dispatch_at (&f, f.now + 3 * LB_SEC);
+          n_retries += fixture_take_action_of_request (&f, LC_ACTION_SEND, bad.id, &action);
         }
     }
   cr_assert (n_retries > 0 && n_retries <= 3, "the caller got %d retries, expected 1 to 3",
              n_retries);
 
-  LcRequestSpec good = fixture_new_spec (&f, LC_KIND_LIVE);
+  LcRequestSpec good = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-  cr_assert (fixture_submit (&f, &good));
+  cr_assert (fixture_submit_request (&f, &good));
   fixture_end_attempt (&f, good.id, 1, LC_END_BROKEN);
-  fixture_drop_actions (&f);
-  fixture_tick_at (&f, f.now + 3 * LB_SEC);
-  fixture_expect_action (&f, LC_ACTION_SEND, good.id);
+  fixture_free_pending_actions (&f);
+  fixture_tick_dispatch_at (&f, f.now + 3 * LB_SEC);
+  fixture_expect_action_of_request (&f, LC_ACTION_SEND, good.id);
   fixture_clear (&f);
 }
 
@@ -124,18 +124,17 @@
   fixture_init (&f, &settings, 8, 10);
   for (int i = 0; i < 20; i++)
     {
-      LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-      cr_assert (fixture_submit (&f, &spec));
+      cr_assert (fixture_submit_request (&f, &spec));
     }
-  fixture_drop_actions (&f);
-  fixture_tick_at (&f, f.now + 10 * LB_SEC);
+  fixture_free_pending_actions (&f);
+  fixture_tick_dispatch_at (&f, f.now + 10 * LB_SEC);
   cr_assert_eq (f.actions.length, 3, "%zu hedges were sent, expected 3", f.actions.length);
   fixture_clear (&f);
 }
 
-/* Simulation of an outage in virtual time, with one endpoint and callers with a steady call
- * rate. */
+/* --- simulated outage of the only endpoint, which gets calls at a steady rate --- */
 
 #define CALLS_PER_SECOND 200
 #define SERVICE_TIME (50 * LB_MSEC)
@@ -213,7 +212,7 @@
 }
 
 static void
-end_due_attempts (StormSimulation *storm)
+end_attempts_that_are_due (StormSimulation *storm)
 {
   for (size_t i = 0; i < storm->n_pending;)
     {
@@ -239,13 +238,13 @@
 
   for (unsigned i = 0; i < n; i++)
     {
-      LcRequestSpec spec = fixture_new_spec (&storm->f, LC_KIND_LIVE);
+      LcRequestSpec spec = fixture_make_request_spec (&storm->f, LC_KIND_LIVE);
 
       snprintf (spec.caller, sizeof spec.caller, "shop-%u",
                 (unsigned)gsl_rng_uniform_int (storm->random, 20));
       spec.deadline = storm->f.now + 2 * LB_SEC;
       storm->submitted[storm->f.now / LB_SEC]++;
-      fixture_submit (&storm->f, &spec);
+      fixture_submit_request (&storm->f, &spec);
       schedule_attempt_ends_and_count_answers (storm);
     }
 }
@@ -263,17 +262,17 @@
   for (LbTime now = LB_SEC; now < SIMULATION_ENDS; now += LB_MSEC)
     {
       storm->f.now = now;
-      end_due_attempts (storm);
+      end_attempts_that_are_due (storm);
       submit_random_calls (storm);
       if (now >= lc_dispatch_next_tick (storm->f.dispatch))
-        fixture_tick_at (&storm->f, now);
+        fixture_tick_dispatch_at (&storm->f, now);
       schedule_attempt_ends_and_count_answers (storm);
     }
   return storm;
 }
 
 static void
-free_simulation (StormSimulation *storm)
+free_storm_simulation (StormSimulation *storm)
 {
   fixture_clear (&storm->f);
   gsl_rng_free (storm->random);
@@ -281,7 +280,7 @@
 }
 
 static int
-sum_counts_in_period (const int *by_second, LbTime from, LbTime to)
+sum_counts_per_second_in_period (const int *by_second, LbTime from, LbTime to)
 {
   int total = 0;
 
@@ -293,22 +292,22 @@
 /* Checks that the attempts sent in each second from the start of the outage exceed the call rate by
  * at most 20 %, and that at least 99 % of the calls of the last 20 s are answered. */
 static void
-expect_no_retry_storm (OutageKind kind)
+expect_no_retry_storm_in_outage (OutageKind kind)
 {
   StormSimulation *storm = run_outage_simulation (kind);
   LbTime last = SIMULATION_ENDS - 20 * LB_SEC;
 
   for (LbTime at = OUTAGE_BEGINS; at < SIMULATION_ENDS; at += LB_SEC)
     {
-      int sent = sum_counts_in_period (storm->sent, at, at + LB_SEC);
+      int sent = sum_counts_per_second_in_period (storm->sent, at, at + LB_SEC);
 
       cr_expect_leq (sent, CALLS_PER_SECOND * 1.2,
                      "%d attempts were sent, expected at most 240 in second %d", sent,
                      (int)(at / LB_SEC));
     }
-  cr_expect_geq (sum_counts_in_period (storm->answered, last, SIMULATION_ENDS),
-                 sum_counts_in_period (storm->submitted, last, SIMULATION_ENDS) * 0.99);
-  free_simulation (storm);
+  cr_expect_geq (sum_counts_per_second_in_period (storm->answered, last, SIMULATION_ENDS),
+                 sum_counts_per_second_in_period (storm->submitted, last, SIMULATION_ENDS) * 0.99);
+  free_storm_simulation (storm);
 }
 
 /* The endpoint is down for ten seconds while calls continue at their rate. Without a retry budget,
@@ -316,24 +315,24 @@
  * The endpoint would fail again and never recover. */
 Test (storm, refused_connections_cause_no_retry_storm)
 {
-  expect_no_retry_storm (OUTAGE_REFUSES);
+  expect_no_retry_storm_in_outage (OUTAGE_REFUSES);
 }
 
 Test (storm, broken_calls_cause_no_retry_storm)
 {
-  expect_no_retry_storm (OUTAGE_BREAKS);
+  expect_no_retry_storm_in_outage (OUTAGE_BREAKS);
 }
 
 Test (storm, unanswered_calls_cause_no_retry_storm)
 {
-  expect_no_retry_storm (OUTAGE_SILENT);
+  expect_no_retry_storm_in_outage (OUTAGE_SILENT);
 }
 
 /* Two failures of five calls don't open the circuit breaker, so only the budgets limit the
  * retries. */
 Test (storm, partly_broken_calls_cause_no_retry_storm)
 {
-  expect_no_retry_storm (OUTAGE_PARTIAL);
+  expect_no_retry_storm_in_outage (OUTAGE_PARTIAL);
 }
 
 /* An engine that loads weights refuses requests and looks idle. A refused sample was sent to it
@@ -348,12 +347,12 @@
 
   fixture_init (&f, &no_budget, 2, 4);
 
-  LcRequestSpec spec = fixture_new_spec (&f, LC_KIND_SAMPLE);
+  LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_SAMPLE);
 
-  cr_assert (fixture_submit (&f, &spec));
-  LcAction first = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+  cr_assert (fixture_submit_request (&f, &spec));
+  LcAction first = fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
   fixture_end_attempt (&f, spec.id, 1, LC_END_REFUSED);
-  LcAction second = fixture_expect_action (&f, LC_ACTION_SEND, spec.id);
+  LcAction second = fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
   cr_assert_str_neq (second.endpoint, first.endpoint);
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-rollouts-fresh.c
+++ b/packages/core/tests/test-rollouts-fresh.c
@@ -29,8 +29,8 @@
   Owner *owner = owner_new (&plain, 1);
 
   owner_open_step (owner, 1, 1, 1);
-  owner_add_piece (owner, owner->requests[0].id, 0, 1, 40);
-  owner_add_piece (owner, owner->requests[0].id, 1, 99, 42);
+  owner_receive_generated_piece (owner, owner->requests[0].id, 0, 1, 40);
+  owner_receive_generated_piece (owner, owner->requests[0].id, 1, 99, 42);
   owner_finish_generation (owner, owner->requests[0].id, LB_OK, "text");
   owner_pull_without_waiting (owner, "", 42);
   cr_assert_eq (owner->n_samples, 0);
@@ -45,9 +45,9 @@
   Owner *owner = owner_new (&plain, 1);
 
   owner_open_step (owner, 2, 1, 1);
-  owner_add_piece (owner, owner->requests[0].id, 0, 10, 40);
+  owner_receive_generated_piece (owner, owner->requests[0].id, 0, 10, 40);
   owner_finish_generation (owner, owner->requests[0].id, LB_OK, "old");
-  owner_add_piece (owner, owner->requests[1].id, 0, 10, 41);
+  owner_receive_generated_piece (owner, owner->requests[1].id, 0, 10, 41);
   owner_finish_generation (owner, owner->requests[1].id, LB_OK, "young");
   owner_pull_without_waiting (owner, "", 41);
   cr_assert_eq (owner->n_samples, 2);
@@ -75,7 +75,7 @@
 
   owner_open_step (owner, 1, 1, 1);
   LcRequestId request = owner->requests[0].id;
-  owner_add_piece (owner, request, 0, 10, 40);
+  owner_receive_generated_piece (owner, request, 0, 10, 40);
   owner_pull_without_waiting (owner, "", 42);
   cr_assert_eq (owner->last_cancelled, request);
   cr_assert_eq (owner_count_running_requests (owner), 1);
@@ -88,11 +88,12 @@
 {
   Owner *owner = owner_new (&plain, 1);
 
-  OWNER_CALL (owner, lc_rollouts_set_newest_pool_version (owner->rollouts, "reader", 42,
-                                                          90 * LB_SEC, owner->now, &actions));
+  OWNER_EXECUTE_ACTIONS_OF (owner, lc_rollouts_set_newest_pool_version (owner->rollouts, "reader",
+                                                                        42, 90 * LB_SEC, owner->now,
+                                                                        &actions));
   owner_open_step (owner, 1, 1, 1);
   cr_assert_eq (owner->requests[0].min_version, 39);
-  owner_add_piece (owner, owner->requests[0].id, 0, 10, 40);
+  owner_receive_generated_piece (owner, owner->requests[0].id, 0, 10, 40);
   owner_pull_without_waiting (owner, "", 42);
   cr_assert_eq (owner->requests[1].min_version, 41);
   owner_free (owner);
@@ -109,7 +110,7 @@
     {
       /* The second request is the first of group g1. */
       LcRequestId request = owner->requests[i].id;
-      owner_add_piece (owner, request, 0, 10, i == 1 ? 39 : 40);
+      owner_receive_generated_piece (owner, request, 0, 10, i == 1 ? 39 : 40);
       owner_finish_generation (owner, request, LB_OK, "text");
     }
   owner_pull_without_waiting (owner, "", 41);
--- a/packages/core/tests/test-rollouts-labels.c
+++ b/packages/core/tests/test-rollouts-labels.c
@@ -15,7 +15,7 @@
 static LcRequestId
 expect_regenerated_sample (Owner *owner, LcRequestId old)
 {
-  owner_advance_time (owner, 6 * LB_SEC);
+  owner_advance_time_with_ticks (owner, 6 * LB_SEC);
   LcRequestId next_request = owner->requests[owner->n_requests - 1].id;
   cr_assert_neq (next_request, 0);
   cr_assert_neq (next_request, old);
@@ -29,8 +29,8 @@
   Owner *owner = owner_new (&plain, 5);
   LcRequestId request = open_step_with_one_sample (owner);
 
-  owner_add_piece (owner, request, 0, 10, 40);
-  owner_add_piece (owner, request, 10, 5, 41);
+  owner_receive_generated_piece (owner, request, 0, 10, 40);
+  owner_receive_generated_piece (owner, request, 10, 5, 41);
   owner_finish_generation (owner, request, LB_OK, "text");
   owner_pull_without_waiting (owner, "", 41);
   cr_assert_eq (owner->n_samples, 1);
@@ -47,14 +47,14 @@
   Owner *owner = owner_new (&plain, 5);
   LcRequestId request = open_step_with_one_sample (owner);
 
-  owner_add_piece (owner, request, 0, 10, 40);
-  owner_add_piece (owner, request, 10, 5, 0);
+  owner_receive_generated_piece (owner, request, 0, 10, 40);
+  owner_receive_generated_piece (owner, request, 10, 5, 0);
   cr_assert_eq (owner->last_cancelled, request);
   owner_finish_generation (owner, request, LB_OK, "text");
   owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 0);
   request = expect_regenerated_sample (owner, request);
-  owner_add_piece (owner, request, 0, 12, 40);
+  owner_receive_generated_piece (owner, request, 0, 12, 40);
   owner_finish_generation (owner, request, LB_OK, "again");
   owner_pull_without_waiting (owner, "", 40);
   cr_assert_str_eq (owner->samples[0], "g0/0 again");
@@ -70,8 +70,8 @@
   Owner *owner = owner_new (&plain, 5);
   LcRequestId request = open_step_with_one_sample (owner);
 
-  owner_add_piece (owner, request, 0, 10, 40);
-  owner_add_piece (owner, request, 0, 10, 41);
+  owner_receive_generated_piece (owner, request, 0, 10, 40);
+  owner_receive_generated_piece (owner, request, 0, 10, 41);
   owner_finish_generation (owner, request, LB_OK, "texttext");
   owner_pull_without_waiting (owner, "", 41);
   cr_assert_eq (owner->n_samples, 0);
@@ -102,12 +102,12 @@
   Owner *owner = owner_new (&plain, 5);
   LcRequestId request = open_step_with_one_sample (owner);
 
-  owner_add_piece (owner, request, 0, 10, 40);
+  owner_receive_generated_piece (owner, request, 0, 10, 40);
   owner_finish_generation (owner, request, LB_ERROR_STREAM_BROKEN, "first ");
   LcRequestId next_request = expect_regenerated_sample (owner, request);
   cr_assert_eq (owner->requests[1].resume_at, 10);
   cr_assert_str_eq (owner->resume_texts[1], "first ");
-  owner_add_piece (owner, next_request, 10, 5, 41);
+  owner_receive_generated_piece (owner, next_request, 10, 5, 41);
   owner_finish_generation (owner, next_request, LB_OK, "second");
   owner_pull_without_waiting (owner, "", 41);
   cr_assert_str_eq (owner->samples[0], "g0/0 first second");
@@ -123,10 +123,10 @@
   Owner *owner = owner_new (&plain, 5);
   LcRequestId request = open_step_with_one_sample (owner);
 
-  owner_add_piece (owner, request, 0, 10, 40);
+  owner_receive_generated_piece (owner, request, 0, 10, 40);
   owner_finish_generation (owner, request, LB_ERROR_STREAM_BROKEN, "first ");
   LcRequestId next_request = expect_regenerated_sample (owner, request);
-  owner_add_piece (owner, next_request, 9, 5, 41);
+  owner_receive_generated_piece (owner, next_request, 9, 5, 41);
   owner_pull_without_waiting (owner, "", 41);
   cr_assert_eq (owner->n_samples, 0);
   expect_regenerated_sample (owner, next_request);
@@ -140,7 +140,7 @@
   Owner *owner = owner_new (&plain, 5);
   LcRequestId request = open_step_with_one_sample (owner);
 
-  owner_add_piece (owner, request, 0, 10, 40);
+  owner_receive_generated_piece (owner, request, 0, 10, 40);
   for (int i = 0; i < 4; i++)
     {
       owner_finish_generation (owner, request, LB_ERROR_ENDPOINT_FAILED, "first ");
--- a/packages/core/tests/test-rollouts-once.c
+++ b/packages/core/tests/test-rollouts-once.c
@@ -6,7 +6,7 @@
 /* Creates a second owner, which takes over the step with the first owner's ledger row. The row
  * records the slots that were delivered. */
 static Owner *
-new_successor (const Owner *first, uint64_t session)
+new_owner_from_ledger_of_first (const Owner *first, uint64_t session)
 {
   Owner *owner = owner_new (&plain, 5);
 
@@ -89,20 +89,20 @@
 static Owner *
 new_owner_with_straggler (const LcRolloutSettings *settings)
 {
-  Owner *owner = owner_new_with_settings (settings, &plain, 5);
+  Owner *owner = owner_new_with_rollout_settings (settings, &plain, 5);
 
   owner_open_step (owner, 10, 1, 1);
-  owner_advance_time (owner, LB_SEC);
+  owner_advance_time_with_ticks (owner, LB_SEC);
   for (size_t i = 1; i < 10; i++)
-    owner_add_piece (owner, owner->requests[i].id, 0, 1, 40);
-  owner_advance_time (owner, LB_SEC);
+    owner_receive_generated_piece (owner, owner->requests[i].id, 0, 1, 40);
+  owner_advance_time_with_ticks (owner, LB_SEC);
   for (size_t i = 1; i < 10; i++)
     {
-      owner_add_piece (owner, owner->requests[i].id, 1, 99, 40);
+      owner_receive_generated_piece (owner, owner->requests[i].id, 1, 99, 40);
       owner_finish_generation (owner, owner->requests[i].id, LB_OK, "short");
     }
-  owner_add_piece (owner, owner->requests[0].id, 0, 10, 40);
-  owner_advance_time (owner, 10 * LB_SEC);
+  owner_receive_generated_piece (owner, owner->requests[0].id, 0, 10, 40);
+  owner_advance_time_with_ticks (owner, 10 * LB_SEC);
   return owner;
 }
 
@@ -117,10 +117,10 @@
   cr_assert_eq (owner_get_step_status (owner).hedges, 1);
   cr_assert_str_eq (owner->requests[10].avoid[0], "e1");
   LcRequestId original = owner->requests[0].id;
-  owner_add_piece (owner, owner->requests[10].id, 0, 20, 40);
+  owner_receive_generated_piece (owner, owner->requests[10].id, 0, 20, 40);
   owner_finish_generation (owner, owner->requests[10].id, LB_OK, "hedge");
   cr_assert_eq (owner->last_cancelled, original);
-  owner_add_piece (owner, original, 10, 5, 40);
+  owner_receive_generated_piece (owner, original, 10, 5, 40);
   owner_finish_generation (owner, original, LB_OK, "late");
   owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 10);
@@ -145,8 +145,8 @@
   cr_assert_eq (owner->n_requests, 11);
   cr_assert_str_eq (owner->requests[10].avoid[0], "e1");
   cr_assert_eq (owner->requests[10].resume_at, 10);
-  owner_add_piece (owner, original, 10, 5, 40);
-  owner_add_piece (owner, owner->requests[10].id, 10, 20, 41);
+  owner_receive_generated_piece (owner, original, 10, 5, 40);
+  owner_receive_generated_piece (owner, owner->requests[10].id, 10, 20, 41);
   owner_finish_generation (owner, owner->requests[10].id, LB_OK, "ended");
   owner_pull_without_waiting (owner, "", 41);
   cr_assert_eq (owner->n_samples, 10);
@@ -163,7 +163,7 @@
   LcRolloutSettings settings = lc_rollout_settings_default ();
   Owner *owner = new_owner_with_straggler (&settings);
 
-  owner_add_piece (owner, owner->requests[0].id, 10, 5, 40);
+  owner_receive_generated_piece (owner, owner->requests[0].id, 10, 5, 40);
   owner_finish_generation (owner, owner->requests[0].id, LB_OK, "whole");
   cr_assert_eq (owner->n_requests, 10);
   owner_pull_without_waiting (owner, "", 41);
@@ -181,14 +181,14 @@
   owner_open_step (first, 4, 2, 1);
   for (size_t i = 0; i < 4; i++)
     {
-      owner_add_piece (first, first->requests[i].id, 0, 10, 40);
+      owner_receive_generated_piece (first, first->requests[i].id, 0, 10, 40);
       owner_finish_generation (first, first->requests[i].id, LB_OK, "text");
     }
   owner_finish_all_generations (first, 40);
   owner_pull_without_waiting (first, "", 40);
   cr_assert_eq (first->n_samples, 8);
   char *cursor = lb_strdup (first->cursor);
-  Owner *second = new_successor (first, 2);
+  Owner *second = new_owner_from_ledger_of_first (first, 2);
   owner_pull_without_waiting (second, cursor, 40);
   cr_assert_eq (second->reply_error, LB_OK);
   cr_assert_eq (second->n_samples, 0);
@@ -209,10 +209,10 @@
   owner_open_step (first, 4, 2, 1);
   for (size_t i = 0; i < 5; i++)
     {
-      owner_add_piece (first, first->requests[i].id, 0, 10, 40);
+      owner_receive_generated_piece (first, first->requests[i].id, 0, 10, 40);
       owner_finish_generation (first, first->requests[i].id, LB_OK, "first");
     }
-  OWNER_CALL (first, lc_rollouts_drain (first->rollouts, first->now, &actions));
+  OWNER_EXECUTE_ACTIONS_OF (first, lc_rollouts_drain (first->rollouts, first->now, &actions));
   owner_pull_without_waiting (first, "", 40);
   cr_assert_eq (first->n_samples, 2);
   second->n_handed_over
@@ -263,7 +263,7 @@
   owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->reply_error, LB_ERROR_STORE_AWAY);
   owner->ledger_error = LB_OK;
-  owner_advance_time (owner, 10 * LB_SEC);
+  owner_advance_time_with_ticks (owner, 10 * LB_SEC);
   owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 8);
   owner_free (owner);
@@ -277,7 +277,7 @@
 
   owner_open_step (first, 4, 2, 1);
   owner_finish_all_generations (first, 40);
-  Owner *second = new_successor (first, 2);
+  Owner *second = new_owner_from_ledger_of_first (first, 2);
   owner_pull_without_waiting (second, "", 40);
   owner_pull_without_waiting (first, second->cursor, 40);
   cr_assert_eq (first->reply_error, LB_ERROR_STALE_SESSION);
@@ -297,18 +297,18 @@
   owner->ledger_error = LB_ERROR_STORE_AWAY;
   for (size_t i = 0; i < 8; i++)
     {
-      owner_add_piece (owner, owner->requests[i].id, 0, 10, 40);
+      owner_receive_generated_piece (owner, owner->requests[i].id, 0, 10, 40);
       owner_finish_generation (owner, owner->requests[i].id, LB_OK, "text");
       owner_pull_without_waiting (owner, owner->cursor, 40);
       cr_assert_eq (owner->reply_error, LB_OK);
       got += owner->n_samples;
-      owner_advance_time (owner, 30 * LB_SEC);
+      owner_advance_time_with_ticks (owner, 30 * LB_SEC);
     }
   owner_pull_without_waiting (owner, owner->cursor, 40);
   cr_assert_eq (got, 8);
   owner->ledger_error = LB_OK;
-  owner_advance_time (owner, 10 * LB_SEC);
-  Owner *second = new_successor (owner, 2);
+  owner_advance_time_with_ticks (owner, 10 * LB_SEC);
+  Owner *second = new_owner_from_ledger_of_first (owner, 2);
   cr_assert_eq (owner_count_running_requests (second), 0);
   owner_free (owner);
   owner_free (second);
@@ -326,8 +326,9 @@
   owner_start_pull (owner, 1, "", 40, 5 * LB_SEC);
   cr_assert_eq (owner->n_replies, 0);
   owner->ledger_is_unresponsive = false;
-  OWNER_CALL (owner, lc_rollouts_finish_ledger_write (owner->rollouts, owner->last_write_id, LB_OK,
-                                                      owner->now, &actions));
+  OWNER_EXECUTE_ACTIONS_OF (owner,
+                            lc_rollouts_finish_ledger_write (owner->rollouts, owner->last_write_id,
+                                                             LB_OK, owner->now, &actions));
   cr_assert_eq (owner->n_replies, 1);
   cr_assert_eq (owner->n_samples, 8);
   cr_assert_str_eq (owner->cursor, "");
@@ -364,8 +365,9 @@
   owner->ledger_is_unresponsive = true;
   owner_start_pull (owner, 1, "", 40, 5 * LB_SEC);
   lc_rollouts_cancel_pull (owner->rollouts, 1);
-  OWNER_CALL (owner, lc_rollouts_finish_ledger_write (owner->rollouts, owner->last_write_id, LB_OK,
-                                                      owner->now, &actions));
+  OWNER_EXECUTE_ACTIONS_OF (owner,
+                            lc_rollouts_finish_ledger_write (owner->rollouts, owner->last_write_id,
+                                                             LB_OK, owner->now, &actions));
   owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 8);
   owner_free (owner);
--- a/packages/core/tests/test-rollouts.c
+++ b/packages/core/tests/test-rollouts.c
@@ -33,11 +33,11 @@
   owner_open_step (owner, 200, 1, 1);
   for (size_t i = 0; i < 200; i++)
     {
-      owner_add_piece (owner, owner->requests[i].id, 0, 10, 40);
+      owner_receive_generated_piece (owner, owner->requests[i].id, 0, 10, 40);
       owner_finish_generation (owner, owner->requests[i].id, LB_OK, "text");
       owner_pull_without_waiting (owner, owner->cursor, 40);
       cr_assert_eq (owner->n_samples, 1);
-      owner_advance_time (owner, 100 * LB_MSEC);
+      owner_advance_time_with_ticks (owner, 100 * LB_MSEC);
     }
   owner_pull_without_waiting (owner, owner->cursor, 40);
   cr_assert_leq (owner->n_ledger_writes, 11);
@@ -58,13 +58,15 @@
   cr_assert_str_eq (owner->requests[1].pool, "judge");
   owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 0);
-  OWNER_CALL (owner,
-              lc_rollouts_finish_scoring (owner->rollouts, owner->requests[1].id,
-                                          LB_ERROR_ENDPOINT_FAILED, 0, owner->now, &actions));
-  owner_advance_time (owner, LB_SEC);
+  OWNER_EXECUTE_ACTIONS_OF (owner,
+                            lc_rollouts_finish_scoring (owner->rollouts, owner->requests[1].id,
+                                                        LB_ERROR_ENDPOINT_FAILED, 0, owner->now,
+                                                        &actions));
+  owner_advance_time_with_ticks (owner, LB_SEC);
   cr_assert_eq (owner->n_scores, 2);
-  OWNER_CALL (owner, lc_rollouts_finish_scoring (owner->rollouts, owner->requests[2].id, LB_OK, 0.5,
-                                                 owner->now, &actions));
+  OWNER_EXECUTE_ACTIONS_OF (owner,
+                            lc_rollouts_finish_scoring (owner->rollouts, owner->requests[2].id,
+                                                        LB_OK, 0.5, owner->now, &actions));
   owner_pull_without_waiting (owner, "", 40);
   cr_assert_eq (owner->n_samples, 1);
   cr_assert_eq (owner->n_requests, 3);
@@ -93,15 +95,17 @@
   LB_COPY (both[1].name, "u");
   LB_COPY (both[0].pool, "reader");
   LB_COPY (both[1].pool, "reader");
-  OWNER_CALL (owner, lc_rollouts_configure (owner->rollouts, &set, owner->now, &actions));
+  OWNER_EXECUTE_ACTIONS_OF (owner,
+                            lc_rollouts_configure (owner->rollouts, &set, owner->now, &actions));
   owner_open_step (owner, 100, 1, 1);
   cr_assert_eq (owner_count_running_requests (owner), 22);
   group.prompt = lb_strdup ("p");
   spec.groups = lb_memdup (&group, sizeof group);
-  OWNER_CALL (owner, lc_rollouts_open_step (owner->rollouts, &spec, 1, owner->now, &actions, NULL));
+  OWNER_EXECUTE_ACTIONS_OF (owner, lc_rollouts_open_step (owner->rollouts, &spec, 1, owner->now,
+                                                          &actions, NULL));
   for (size_t i = 0; i < 22; i++)
     {
-      owner_add_piece (owner, owner->requests[i].id, 0, 10, 40);
+      owner_receive_generated_piece (owner, owner->requests[i].id, 0, 10, 40);
       owner_finish_generation (owner, owner->requests[i].id, LB_OK, "text");
     }
   for (size_t i = 22; i < owner->n_requests; i++)
@@ -118,8 +122,8 @@
   Owner *owner = owner_new (&plain, 2);
 
   owner_open_step (owner, 2, 1, 1);
-  owner_add_piece (owner, owner->requests[0].id, 0, 10, 40);
-  OWNER_CALL (owner, lc_rollouts_drain (owner->rollouts, owner->now, &actions));
+  owner_receive_generated_piece (owner, owner->requests[0].id, 0, 10, 40);
+  OWNER_EXECUTE_ACTIONS_OF (owner, lc_rollouts_drain (owner->rollouts, owner->now, &actions));
   cr_assert_eq (owner_count_running_requests (owner), 1);
   cr_assert_eq (lc_rollouts_count_requests_and_waiting_pulls (owner->rollouts), 1);
   owner_free (owner);
--- a/packages/core/tests/test-router.c
+++ b/packages/core/tests/test-router.c
@@ -1,7 +1,7 @@
 #include "endpoints-fixture.h"
 
 static LcRouteDecision
-choose_endpoint (LcRouter *router, Fixture *f, const LcRouteQuery *query, LbTime now)
+choose_endpoint_with_router (LcRouter *router, Fixture *f, const LcRouteQuery *query, LbTime now)
 {
   return lc_router_choose_endpoint (router, f->endpoints, query, now);
 }
@@ -29,7 +29,7 @@
 
   fixture_init (&f, 5);
   for (int i = 0; i < 5; i++)
-    fixture_record_report (&f, f.members[i].name, "a", i == 3 ? 1 : 2, 1);
+    fixture_record_load_report (&f, f.members[i].name, "a", i == 3 ? 1 : 2, 1);
   lc_endpoints_mark_leaving (f.endpoints, "e1", "a", LC_LEAVING_PEER, 2);
   strcpy (query.avoid[0], "e2");
   query.n_avoid = 1;
@@ -40,7 +40,7 @@
   query.kind = LC_KIND_SAMPLE;
   for (int i = 0; i < 20; i++)
     {
-      LcRouteDecision decision = choose_endpoint (router, &f, &query, 3);
+      LcRouteDecision decision = choose_endpoint_with_router (router, &f, &query, 3);
 
       cr_assert_eq (decision.n_candidates, 1, "policy %s: expected one candidate", policy);
       cr_assert_str_eq (decision.endpoint->member.name, "e0", "policy %s: expected endpoint e0",
@@ -62,7 +62,7 @@
                                 const LcRouteQuery *query,
                                 const char *reason)
 {
-  LcRouteDecision decision = choose_endpoint (router, f, query, 10);
+  LcRouteDecision decision = choose_endpoint_with_router (router, f, query, 10);
 
   cr_assert_null (decision.endpoint);
   cr_assert_str_eq (decision.reason, reason);
@@ -136,7 +136,9 @@
           lc_endpoints_record_load_report (f.endpoints, f.members[i].name, &report, 2 * LB_SEC);
         }
       n_at_e0
-          += strcmp (choose_endpoint (router, &f, &query, 2 * LB_SEC).endpoint->member.name, "e0")
+          += strcmp (
+                 choose_endpoint_with_router (router, &f, &query, 2 * LB_SEC).endpoint->member.name,
+                 "e0")
              == 0;
       lc_router_free (router);
       fixture_clear (&f);
@@ -156,7 +158,7 @@
   query.prefix_hashes = &prefix;
   query.n_prefix_hashes = 1;
 
-  const char *name = choose_endpoint (router, f, &query, now).endpoint->member.name;
+  const char *name = choose_endpoint_with_router (router, f, &query, now).endpoint->member.name;
 
   lc_router_free (router);
   return name;
@@ -168,7 +170,7 @@
 
   fixture_init (&f, 4);
   for (int i = 0; i < 4; i++)
-    fixture_record_report (&f, f.members[i].name, "a", 1, 1);
+    fixture_record_load_report (&f, f.members[i].name, "a", 1, 1);
   lc_endpoints_apply_cache_event (f.endpoints, "e2", 1, true, 77, 2);
   cr_assert_str_eq (choose_engine_for_prefix (&f, 77, 3), "e2");
   for (int i = 0; i < 7; i++)
@@ -184,8 +186,8 @@
   Fixture f;
 
   fixture_init (&f, 2);
-  fixture_record_report (&f, "e0", "a", 1, 1);
-  fixture_record_report (&f, "e1", "a", 1, 1);
+  fixture_record_load_report (&f, "e0", "a", 1, 1);
+  fixture_record_load_report (&f, "e1", "a", 1, 1);
   for (int i = 0; i < 5; i++)
     lc_endpoint_request_sent (fixture_find_endpoint (&f, "e1"), LC_KIND_LIVE, 0, 2);
   cr_assert_str_eq (choose_engine_for_prefix (&f, 0, 3), "e0");
@@ -202,7 +204,7 @@
   Fixture f;
 
   fixture_init (&f, 4);
-  fixture_record_report (&f, "e0", "a", 1, LB_SEC);
+  fixture_record_load_report (&f, "e0", "a", 1, LB_SEC);
   for (LbTime now = LB_SEC; now <= 8 * LB_SEC; now += LB_SEC)
     for (int i = 1; i < 4; i++)
       {
@@ -230,7 +232,7 @@
   fixture_init (&f, 4);
   for (int i = 0; i < 4; i++)
     f.members[i].kind = LC_ENDPOINT_SERVICE;
-  fixture_configure (&f, 1);
+  fixture_apply_endpoint_set (&f, 1);
   query.kind = LC_KIND_SERVICE;
   lc_endpoint_request_sent (fixture_find_endpoint (&f, "e2"), LC_KIND_SERVICE, 0, now);
   lc_endpoint_first_byte_received (fixture_find_endpoint (&f, "e2"), 20 * LB_MSEC, now);
@@ -243,8 +245,8 @@
       lc_endpoints_record_load_report (f.endpoints, f.members[i].name, &listed, now + LB_SEC);
     }
   for (int i = 0; i < 40; i++)
-    cr_assert_str_eq (choose_endpoint (router, &f, &query, now + LB_SEC).endpoint->member.name,
-                      "e2");
+    cr_assert_str_eq (
+        choose_endpoint_with_router (router, &f, &query, now + LB_SEC).endpoint->member.name, "e2");
   fixture_clear (&f);
   lc_router_free (router);
 }
@@ -262,7 +264,7 @@
   fixture_init (&f, 4);
   for (int i = 0; i < 4; i++)
     f.members[i].kind = LC_ENDPOINT_SERVICE;
-  fixture_configure (&f, 1);
+  fixture_apply_endpoint_set (&f, 1);
   query.kind = LC_KIND_SERVICE;
   LbTime now = 100 * LB_SEC;
   lc_endpoint_request_sent (fixture_find_endpoint (&f, "e2"), LC_KIND_SERVICE, 0, now);
@@ -270,12 +272,12 @@
   lc_endpoint_request_ended (fixture_find_endpoint (&f, "e2"), LC_KIND_SERVICE, true, 0,
                              20 * LB_MSEC, now);
   for (int i = 0; i < 40; i++)
-    cr_assert_str_eq (choose_endpoint (router, &f, &query, now + LB_SEC).endpoint->member.name,
-                      "e2");
+    cr_assert_str_eq (
+        choose_endpoint_with_router (router, &f, &query, now + LB_SEC).endpoint->member.name, "e2");
   for (int i = 0; i < 4; i++)
     lc_endpoint_request_sent (fixture_find_endpoint (&f, "e2"), LC_KIND_SERVICE, 0, now + LB_SEC);
-  cr_assert_str_neq (choose_endpoint (router, &f, &query, now + LB_SEC).endpoint->member.name,
-                     "e2");
+  cr_assert_str_neq (
+      choose_endpoint_with_router (router, &f, &query, now + LB_SEC).endpoint->member.name, "e2");
   fixture_clear (&f);
   lc_router_free (router);
 }
--- a/packages/core/tests/test-scaling.c
+++ b/packages/core/tests/test-scaling.c
@@ -62,7 +62,7 @@
 /* Finishes all due orders with the outcome. Returns the number of endpoints ordered in the data
  * centre; -1: no order for the data centre was due. */
 static int64_t
-finish_due_orders (Fixture *fixture, const char *data_centre, LcScalingOutcome outcome)
+finish_due_scaling_orders (Fixture *fixture, const char *data_centre, LcScalingOutcome outcome)
 {
   LcScalingOrder order;
   int64_t found = -1;
@@ -78,7 +78,7 @@
 }
 
 static void
-assert_no_order_is_due (Fixture *fixture)
+assert_no_scaling_order_is_due (Fixture *fixture)
 {
   LcScalingOrder order;
 
@@ -94,15 +94,15 @@
   Fixture fixture;
 
   fixture_init (&fixture);
-  assert_no_order_is_due (&fixture);
+  assert_no_scaling_order_is_due (&fixture);
   lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
-  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
+  cr_assert_eq (finish_due_scaling_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
   fixture.now += 4 * LB_SEC;
   for (int i = 0; i < 5; i++)
     add_engine_member (&fixture, "a", true);
   lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
   fixture.now += LB_SEC;
-  assert_no_order_is_due (&fixture);
+  assert_no_scaling_order_is_due (&fixture);
   fixture_clear (&fixture);
 }
 
@@ -112,9 +112,9 @@
 
   fixture_init (&fixture);
   lc_scaling_add_demand (fixture.scaling, "m", 1000, fixture.now);
-  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 6);
+  cr_assert_eq (finish_due_scaling_orders (&fixture, "a", LC_SCALING_ACCEPTED), 6);
   lc_scaling_forget_orders (fixture.scaling);
-  cr_assert_eq (finish_due_orders (&fixture, "b", LC_SCALING_ACCEPTED), 6);
+  cr_assert_eq (finish_due_scaling_orders (&fixture, "b", LC_SCALING_ACCEPTED), 6);
   fixture_clear (&fixture);
 }
 
@@ -133,9 +133,9 @@
   cr_assert_str_eq (order.data_centre, "a");
   lc_scaling_record_order_outcome (fixture.scaling, &order, LC_SCALING_REFUSED, fixture.now);
   fixture.now += LB_SEC;
-  cr_assert_eq (finish_due_orders (&fixture, "c", LC_SCALING_ACCEPTED), 5);
+  cr_assert_eq (finish_due_scaling_orders (&fixture, "c", LC_SCALING_ACCEPTED), 5);
   fixture.now += 5 * LB_SEC;
-  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5,
+  cr_assert_eq (finish_due_scaling_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5,
                 "must order in the cheapest data centre again");
   fixture_clear (&fixture);
 }
@@ -147,11 +147,11 @@
 
   fixture_init (&fixture);
   lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
-  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_UNKNOWN), 5);
+  cr_assert_eq (finish_due_scaling_orders (&fixture, "a", LC_SCALING_UNKNOWN), 5);
   fixture.now += LB_SEC;
-  assert_no_order_is_due (&fixture);
+  assert_no_scaling_order_is_due (&fixture);
   fixture.now += 4 * LB_SEC;
-  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
+  cr_assert_eq (finish_due_scaling_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
   fixture_clear (&fixture);
 }
 
@@ -164,17 +164,17 @@
 
   fixture_init (&fixture);
   lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
-  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
+  cr_assert_eq (finish_due_scaling_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
   for (int i = 0; i < 5; i++)
     add_engine_member (&fixture, "a", true);
   add_engine_member (&fixture, "c", false);
   fixture.now += 6 * LB_SEC;
-  assert_no_order_is_due (&fixture);
+  assert_no_scaling_order_is_due (&fixture);
   fixture.now += 5 * LB_SEC;
-  assert_no_order_is_due (&fixture);
+  assert_no_scaling_order_is_due (&fixture);
   fixture.now += 5 * LB_SEC;
   lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
-  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 4);
+  cr_assert_eq (finish_due_scaling_orders (&fixture, "a", LC_SCALING_ACCEPTED), 4);
   fixture_clear (&fixture);
 }
 
@@ -184,12 +184,12 @@
 
   fixture_init (&fixture);
   lc_scaling_add_demand (fixture.scaling, "m", 100, fixture.now);
-  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
+  cr_assert_eq (finish_due_scaling_orders (&fixture, "a", LC_SCALING_ACCEPTED), 5);
   for (int i = 0; i < 5; i++)
     add_engine_member (&fixture, "a", true);
   fixture.now += 25 * LB_SEC;
-  assert_no_order_is_due (&fixture);
+  assert_no_scaling_order_is_due (&fixture);
   fixture.now += 11 * LB_SEC;
-  cr_assert_eq (finish_due_orders (&fixture, "a", LC_SCALING_ACCEPTED), 0);
+  cr_assert_eq (finish_due_scaling_orders (&fixture, "a", LC_SCALING_ACCEPTED), 0);
   fixture_clear (&fixture);
 }
--- a/packages/core/tests/test-stream-pace.c
+++ b/packages/core/tests/test-stream-pace.c
@@ -52,7 +52,7 @@
 }
 
 static int
-count_decisions_for_endpoint (Fixture *f, const char *endpoint, LbTime now)
+count_routing_decisions_for_endpoint (Fixture *f, const char *endpoint, LbTime now)
 {
   LcRouteQuery query = fixture_make_route_query ();
   LcRouter *router = lc_router_new ("lentilspindle", 7);
@@ -78,14 +78,14 @@
   fixture_init (&f, 4);
   for (int i = 0; i < 4; i++)
     record_streamed_tokens (&f, f.members[i].name, NORMAL_INTERVAL, 1, 2 * LB_SEC);
-  cr_assert_gt (count_decisions_for_endpoint (&f, "e3", 2 * LB_SEC), 0);
+  cr_assert_gt (count_routing_decisions_for_endpoint (&f, "e3", 2 * LB_SEC), 0);
   record_streamed_tokens (&f, "e3", SLOW_INTERVAL, 2 * LB_SEC, 3 * LB_SEC);
   for (int i = 0; i < 3; i++)
     record_streamed_tokens (&f, f.members[i].name, NORMAL_INTERVAL, 2 * LB_SEC, 3 * LB_SEC);
-  cr_assert_eq (count_decisions_for_endpoint (&f, "e3", 3 * LB_SEC), 0);
+  cr_assert_eq (count_routing_decisions_for_endpoint (&f, "e3", 3 * LB_SEC), 0);
   for (int i = 0; i < 3; i++)
     record_streamed_tokens (&f, f.members[i].name, NORMAL_INTERVAL, 3 * LB_SEC, 9 * LB_SEC);
-  cr_assert_gt (count_decisions_for_endpoint (&f, "e3", 9 * LB_SEC), 0,
+  cr_assert_gt (count_routing_decisions_for_endpoint (&f, "e3", 9 * LB_SEC), 0,
                 "the engine must be tried again, since it may have recovered");
   fixture_clear (&f);
 }
@@ -93,7 +93,7 @@
 /* --- choice of an endpoint for generations that would miss their deadline on a slow engine --- */
 
 static const char *
-choose_endpoint (Fixture *f, const LcRouteQuery *query, LbTime now)
+choose_endpoint_with_new_router (Fixture *f, const LcRouteQuery *query, LbTime now)
 {
   LcRouter *router = lc_router_new ("lentilspindle", 7);
   LcRouteDecision decision = lc_router_choose_endpoint (router, f->endpoints, query, now);
@@ -137,9 +137,9 @@
   Fixture f;
 
   fixture_init_slow_and_full_engines (&f, now);
-  cr_assert_str_eq (choose_endpoint (&f, &query, now), "");
+  cr_assert_str_eq (choose_endpoint_with_new_router (&f, &query, now), "");
   query.expected_tokens = 5;
-  cr_assert_str_eq (choose_endpoint (&f, &query, now), "e1");
+  cr_assert_str_eq (choose_endpoint_with_new_router (&f, &query, now), "e1");
   fixture_clear (&f);
 }
 
@@ -152,9 +152,9 @@
 
   fixture_init_slow_and_full_engines (&f, now);
   query.submitted = now - 2 * LB_SEC;
-  cr_assert_str_eq (choose_endpoint (&f, &query, now), "");
+  cr_assert_str_eq (choose_endpoint_with_new_router (&f, &query, now), "");
   query.submitted = now - 3 * LB_SEC;
-  cr_assert_str_eq (choose_endpoint (&f, &query, now), "e1",
+  cr_assert_str_eq (choose_endpoint_with_new_router (&f, &query, now), "e1",
                     "must use the slow engine after the maximum wait, although it loses 14 s");
   fixture_clear (&f);
 }
@@ -169,9 +169,9 @@
 
   fixture_init_slow_and_full_engines (&f, now);
   lc_endpoints_mark_leaving (f.endpoints, "e0", "", LC_LEAVING_ENDPOINT, now);
-  cr_assert_str_eq (choose_endpoint (&f, &query, now), "e1");
+  cr_assert_str_eq (choose_endpoint_with_new_router (&f, &query, now), "e1");
   query.n_avoid = 1;
   strcpy (query.avoid[0], "e1");
-  cr_assert_str_eq (choose_endpoint (&f, &query, now), "e1");
+  cr_assert_str_eq (choose_endpoint_with_new_router (&f, &query, now), "e1");
   fixture_clear (&f);
 }
--- a/packages/core/tests/test-subset.c
+++ b/packages/core/tests/test-subset.c
@@ -26,37 +26,37 @@
 } Table;
 
 static int
-compare_keys (const void *a, const void *b)
+compare_row_keys (const void *a, const void *b)
 {
   return strcmp (((const Row *)a)->key, ((const Row *)b)->key);
 }
 
 static void
-make_random_key (char *key)
+make_random_row_key (char *key)
 {
   snprintf (key, KEY_SIZE, "%08lx%08lx", random (), random ());
 }
 
 /* Every fifth endpoint is a plain service; the other endpoints are engines with six models. */
 static void
-table_init (Table *table, size_t n_rows)
+table_init_with_random_endpoints (Table *table, size_t n_rows)
 {
   srandom (7);
   *table = (Table){ .rows = LB_NEW_ARRAY (Row, n_rows), .n_rows = n_rows };
   for (size_t i = 0; i < n_rows; i++)
     {
-      make_random_key (table->rows[i].key);
+      make_random_row_key (table->rows[i].key);
       table->rows[i].columns = (LcSubsetRow){ .service = i % 5 == 0 ? "plain" : "engines",
                                               .n_models = i % 5 == 0 ? 0 : 6,
                                               .slots = 6 };
     }
-  qsort (table->rows, n_rows, sizeof *table->rows, compare_keys);
+  qsort (table->rows, n_rows, sizeof *table->rows, compare_row_keys);
 }
 
 static LbTime now = LB_SEC;
 
 static void
-read_table_page_by_page (LcSubset *subset, Table *table)
+update_subset_from_table_pages (LcSubset *subset, Table *table)
 {
   bool more = true;
 
@@ -91,7 +91,7 @@
 }
 
 static LcSubset *
-new_subset_with_expected_services (void)
+new_subset_with_required_services (void)
 {
   LcSubset *subset = lc_subset_new ();
 
@@ -107,12 +107,12 @@
 
   for (size_t i = 0; i < 2; i++)
     {
-      LcSubset *subset = new_subset_with_expected_services ();
+      LcSubset *subset = new_subset_with_required_services ();
       Table table;
 
-      table_init (&table, sizes[i]);
-      read_table_page_by_page (subset, &table);
-      read_table_page_by_page (subset, &table);
+      table_init_with_random_endpoints (&table, sizes[i]);
+      update_subset_from_table_pages (subset, &table);
+      update_subset_from_table_pages (subset, &table);
       cr_assert_eq (table.n_pages, 1);
       cr_assert_leq (table.n_rows_read, MAX_PAGE_ROWS);
       cr_assert_eq (count_service_endpoints_in_subset (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
@@ -126,13 +126,13 @@
 /* In a small deployment, the subset must contain all endpoints. */
 Test (subset, small_table_is_known_completely)
 {
-  LcSubset *subset = new_subset_with_expected_services ();
+  LcSubset *subset = new_subset_with_required_services ();
   Table table;
 
-  table_init (&table, 450);
+  table_init_with_random_endpoints (&table, 450);
   for (int i = 0; i < 3; i++)
     {
-      read_table_page_by_page (subset, &table);
+      update_subset_from_table_pages (subset, &table);
       cr_assert_eq (table.n_pages, 1);
       cr_assert_eq (count_service_endpoints_in_subset (&table, "plain")
                         + count_service_endpoints_in_subset (&table, "engines"),
@@ -145,15 +145,15 @@
 /* A service whose keys are the last in the table must not be left without a known endpoint. */
 Test (subset, service_at_the_end_of_the_table_is_found)
 {
-  LcSubset *subset = new_subset_with_expected_services ();
+  LcSubset *subset = new_subset_with_required_services ();
   Table table;
 
-  table_init (&table, 3000);
+  table_init_with_random_endpoints (&table, 3000);
   for (size_t i = 2900; i < 3000; i++)
     table.rows[i].columns = (LcSubsetRow){ .service = "last", .slots = 1 };
   lc_subset_add_required_service (subset, "last");
-  read_table_page_by_page (subset, &table);
-  read_table_page_by_page (subset, &table);
+  update_subset_from_table_pages (subset, &table);
+  update_subset_from_table_pages (subset, &table);
   cr_assert_eq (count_service_endpoints_in_subset (&table, "last"), LC_SUBSET_MIN_ENDPOINTS);
   cr_assert_eq (count_service_endpoints_in_subset (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
   lc_subset_free (subset);
@@ -164,14 +164,14 @@
  * leave the subset with each list, and requests would move along with them. */
 Test (subset, churn_does_not_displace_other_endpoints)
 {
-  LcSubset *subset = new_subset_with_expected_services ();
+  LcSubset *subset = new_subset_with_required_services ();
   Table table;
 
-  table_init (&table, 10000);
-  read_table_page_by_page (subset, &table);
+  table_init_with_random_endpoints (&table, 10000);
+  update_subset_from_table_pages (subset, &table);
   for (size_t i = 0; i < 40; i++)
     table.rows[i * 10].columns.leaving = true;
-  read_table_page_by_page (subset, &table);
+  update_subset_from_table_pages (subset, &table);
   size_t n_in_subset = count_service_endpoints_in_subset (&table, "engines")
                        + count_service_endpoints_in_subset (&table, "plain");
   cr_assert_eq (n_in_subset, 7 * LC_SUBSET_MIN_ENDPOINTS,
@@ -182,14 +182,14 @@
 
 Test (subset, lost_endpoints_are_replaced)
 {
-  LcSubset *subset = new_subset_with_expected_services ();
+  LcSubset *subset = new_subset_with_required_services ();
   Table table;
 
-  table_init (&table, 10000);
-  read_table_page_by_page (subset, &table);
+  table_init_with_random_endpoints (&table, 10000);
+  update_subset_from_table_pages (subset, &table);
   table.rows += 250;
   table.n_rows -= 250;
-  read_table_page_by_page (subset, &table);
+  update_subset_from_table_pages (subset, &table);
   cr_assert_eq (count_service_endpoints_in_subset (&table, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
   cr_assert_eq (count_service_endpoints_in_subset (&table, "plain"), LC_SUBSET_MIN_ENDPOINTS);
   lc_subset_free (subset);
@@ -199,13 +199,13 @@
 /* A step of 2,048 generations must not have to wait for the engines of a small subset. */
 Test (subset, grows_with_the_number_of_concurrent_requests)
 {
-  LcSubset *subset = new_subset_with_expected_services ();
+  LcSubset *subset = new_subset_with_required_services ();
   Table table;
 
-  table_init (&table, 10000);
-  read_table_page_by_page (subset, &table);
+  table_init_with_random_endpoints (&table, 10000);
+  update_subset_from_table_pages (subset, &table);
   lc_subset_set_demand (subset, "m", 2048);
-  read_table_page_by_page (subset, &table);
+  update_subset_from_table_pages (subset, &table);
   cr_assert_geq (count_service_endpoints_in_subset (&table, "engines"), 6 * 2 * 2048 / 6);
   lc_subset_free (subset);
   free (table.rows);
@@ -215,14 +215,14 @@
  * that is published for it. */
 Test (subset, follows_published_bounds)
 {
-  LcSubset *subset = new_subset_with_expected_services ();
+  LcSubset *subset = new_subset_with_required_services ();
   Table table;
 
-  table_init (&table, 10000);
+  table_init_with_random_endpoints (&table, 10000);
   lc_subset_set_bound (subset, "engines", table.rows[499].key);
   lc_subset_set_bound (subset, "plain", table.rows[399].key);
-  read_table_page_by_page (subset, &table);
-  read_table_page_by_page (subset, &table);
+  update_subset_from_table_pages (subset, &table);
+  update_subset_from_table_pages (subset, &table);
   for (size_t i = 0; i < table.n_rows; i++)
     {
       bool is_engine = table.rows[i].columns.n_models > 0;
@@ -236,14 +236,14 @@
 /* High load must not overload the subset while other endpoints are idle. */
 Test (subset, grows_while_its_endpoints_are_overloaded)
 {
-  LcSubset *subset = new_subset_with_expected_services ();
+  LcSubset *subset = new_subset_with_required_services ();
   Table table;
 
-  table_init (&table, 10000);
-  read_table_page_by_page (subset, &table);
+  table_init_with_random_endpoints (&table, 10000);
+  update_subset_from_table_pages (subset, &table);
   lc_subset_grow_for_service (subset, "plain", now);
   lc_subset_grow_for_service (subset, "plain", now + LB_SEC);
-  read_table_page_by_page (subset, &table);
+  update_subset_from_table_pages (subset, &table);
   size_t n_in_subset = count_service_endpoints_in_subset (&table, "plain");
   cr_assert_geq (n_in_subset, LC_SUBSET_MIN_ENDPOINTS * 3 / 2 - 1);
   cr_assert_leq (n_in_subset, LC_SUBSET_MIN_ENDPOINTS * 3 / 2 + 1,
@@ -251,7 +251,7 @@
   for (int i = 1; i <= 10; i++)
     {
       lc_subset_grow_for_service (subset, "plain", now + i * 4 * LB_SEC);
-      read_table_page_by_page (subset, &table);
+      update_subset_from_table_pages (subset, &table);
     }
   cr_assert_geq (count_service_endpoints_in_subset (&table, "plain"), 1900);
   lc_subset_free (subset);
@@ -262,20 +262,20 @@
  * register later with keys within its bounds. */
 Test (subset, is_cut_when_many_endpoints_register_within_its_bounds)
 {
-  LcSubset *subset = new_subset_with_expected_services ();
+  LcSubset *subset = new_subset_with_required_services ();
   Table few;
   Table all;
 
-  table_init (&few, 800);
-  read_table_page_by_page (subset, &few);
-  table_init (&all, 10000);
-  read_table_page_by_page (subset, &all);
+  table_init_with_random_endpoints (&few, 800);
+  update_subset_from_table_pages (subset, &few);
+  table_init_with_random_endpoints (&all, 10000);
+  update_subset_from_table_pages (subset, &all);
   cr_assert_leq (count_service_endpoints_in_subset (&all, "engines"),
                  2 * 6 * LC_SUBSET_MIN_ENDPOINTS);
-  read_table_page_by_page (subset, &all);
+  update_subset_from_table_pages (subset, &all);
   cr_assert_eq (count_service_endpoints_in_subset (&all, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
   cr_assert_eq (count_service_endpoints_in_subset (&all, "plain"), LC_SUBSET_MIN_ENDPOINTS);
-  read_table_page_by_page (subset, &all);
+  update_subset_from_table_pages (subset, &all);
   cr_assert_eq (all.n_pages, 1);
   lc_subset_free (subset);
   free (few.rows);
@@ -285,21 +285,21 @@
 /* A service without endpoints must not cause each list to read the whole table. */
 Test (subset, service_without_endpoints_is_searched_periodically)
 {
-  LcSubset *subset = new_subset_with_expected_services ();
+  LcSubset *subset = new_subset_with_required_services ();
   Table table;
   size_t n_multi_page_lists = 0;
 
-  table_init (&table, 10000);
+  table_init_with_random_endpoints (&table, 10000);
   lc_subset_add_required_service (subset, "absent");
   for (int i = 0; i < 30; i++)
     {
-      read_table_page_by_page (subset, &table);
+      update_subset_from_table_pages (subset, &table);
       n_multi_page_lists += table.n_pages > 1;
     }
   cr_assert_leq (n_multi_page_lists, 4);
   table.rows[9990].columns.service = "absent";
   for (int i = 0; i < 11; i++)
-    read_table_page_by_page (subset, &table);
+    update_subset_from_table_pages (subset, &table);
   cr_assert (table.rows[9990].is_in_subset);
   lc_subset_free (subset);
   free (table.rows);
@@ -309,16 +309,16 @@
  * overloaded although all of its endpoints are in the subset. */
 Test (subset, does_not_grow_beyond_the_existing_endpoints)
 {
-  LcSubset *subset = new_subset_with_expected_services ();
+  LcSubset *subset = new_subset_with_required_services ();
   Table table;
 
-  table_init (&table, 10000);
-  read_table_page_by_page (subset, &table);
-  read_table_page_by_page (subset, &table);
+  table_init_with_random_endpoints (&table, 10000);
+  update_subset_from_table_pages (subset, &table);
+  update_subset_from_table_pages (subset, &table);
   for (int i = 1; i <= 200; i++)
     {
       lc_subset_grow_for_service (subset, "plain", now + i * 4 * LB_SEC);
-      read_table_page_by_page (subset, &table);
+      update_subset_from_table_pages (subset, &table);
     }
   cr_assert_eq (count_service_endpoints_in_subset (&table, "plain"), 2000);
   cr_assert_eq (count_service_endpoints_in_subset (&table, "engines"), 6 * LC_SUBSET_MIN_ENDPOINTS);
--- a/packages/core/tests/test-usage-reports.c
+++ b/packages/core/tests/test-usage-reports.c
@@ -55,7 +55,7 @@
 static Simulation simulation;
 
 static void
-simulation_init (unsigned long seed, bool injects_faults)
+usage_simulation_init (unsigned long seed, bool injects_faults)
 {
   const LcUsageReportSettings settings = { .window_ms = WINDOW_MS,
                                            .settle_delay_ms = SETTLE_DELAY_MS,
@@ -78,7 +78,7 @@
 }
 
 static void
-simulation_clear (void)
+usage_simulation_clear (void)
 {
   for (int i = 0; i < N_HOLDERS; i++)
     lc_usage_reports_free (simulation.holders[i]);
@@ -99,7 +99,7 @@
 }
 
 static LbTime
-random_operation_delay (void)
+draw_operation_delay (void)
 {
   LbTime typical = 5 * LB_MSEC + (LbTime)(gsl_rng_uniform (simulation.random) * 40 * LB_MSEC);
 
@@ -121,11 +121,11 @@
                            .type = action->type,
                            .window = action->window,
                            .text = action->text ? lb_strdup (action->text) : NULL,
-                           .apply_at = simulation.now + random_operation_delay (),
+                           .apply_at = simulation.now + draw_operation_delay (),
                            .is_reply_lost
                            = simulation.injects_faults && draw_with_probability (0.05) };
         simulation.operations[i].reply_at
-            = simulation.operations[i].apply_at + random_operation_delay ();
+            = simulation.operations[i].apply_at + draw_operation_delay ();
         return;
       }
   cr_assert_fail ("too many operations in transit");
@@ -175,7 +175,7 @@
 }
 
 static void
-complete_reports_read (LcUsageReports *reports, const Operation *operation)
+complete_read_of_recorded_reports (LcUsageReports *reports, const Operation *operation)
 {
   for (int i = 0; operation->ok && i < N_WINDOWS; i++)
     if (simulation.recorded_text[i])
@@ -187,7 +187,7 @@
 }
 
 static void
-complete_row_sum (LcUsageReports *reports, const Operation *operation)
+complete_sum_of_window_rows (LcUsageReports *reports, const Operation *operation)
 {
   LcUsageCounts *counts = lc_usage_counts_new ();
 
@@ -198,7 +198,7 @@
 }
 
 static void
-deliver_operation_result (Operation *operation)
+deliver_operation_result_to_holder (Operation *operation)
 {
   LcUsageReports *reports = simulation.holders[operation->holder];
   bool ok = operation->ok && !operation->is_reply_lost;
@@ -208,10 +208,10 @@
   switch (operation->type)
     {
     case LC_USAGE_READ_REPORTS:
-      complete_reports_read (reports, operation);
+      complete_read_of_recorded_reports (reports, operation);
       break;
     case LC_USAGE_SUM_ROWS:
-      complete_row_sum (reports, operation);
+      complete_sum_of_window_rows (reports, operation);
       break;
     case LC_USAGE_RECORD_REPORT:
       lc_usage_reports_record_report_completed (reports, operation->window, ok,
@@ -233,20 +233,20 @@
 }
 
 static int64_t
-true_time_ms (void)
+get_simulated_true_time_ms (void)
 {
   return simulation.now / LB_MSEC;
 }
 
 /* Advances virtual time by TIME_STEP. One request starts in each step and is counted at once. */
 static void
-run_time_step (void)
+simulate_one_time_step (void)
 {
   LcUsageAction action;
 
   simulation.now += TIME_STEP;
-  if (true_time_ms () / WINDOW_MS < N_WINDOWS)
-    simulation.expected_requests[true_time_ms () / WINDOW_MS]++;
+  if (get_simulated_true_time_ms () / WINDOW_MS < N_WINDOWS)
+    simulation.expected_requests[get_simulated_true_time_ms () / WINDOW_MS]++;
   for (int i = 0; i < MAX_PENDING_OPERATIONS; i++)
     {
       Operation *operation = &simulation.operations[i];
@@ -254,12 +254,12 @@
         apply_holder_operation (operation);
       if (!operation->is_pending || !operation->is_applied || simulation.now < operation->reply_at)
         continue;
-      deliver_operation_result (operation);
+      deliver_operation_result_to_holder (operation);
       operation_clear (operation);
     }
   for (int i = 0; i < N_HOLDERS; i++)
-    while (lc_usage_reports_next_action (simulation.holders[i], true_time_ms (), simulation.now,
-                                         &action))
+    while (lc_usage_reports_next_action (simulation.holders[i], get_simulated_true_time_ms (),
+                                         simulation.now, &action))
       if (action.type == LC_USAGE_READ_REPORTS || action.window < N_WINDOWS)
         start_holder_operation (i, &action);
 }
@@ -282,7 +282,7 @@
 }
 
 static void
-assert_window_accepted (int64_t window)
+assert_correct_report_of_window_accepted (int64_t window)
 {
   char expected[64];
 
@@ -295,18 +295,18 @@
 /* A holder without faults reports each window after its end and before the report is due. */
 Test (usage_reports, each_window_is_reported_before_it_is_due)
 {
-  simulation_init (1, false);
+  usage_simulation_init (1, false);
   lc_usage_reports_begin_duty (simulation.holders[0]);
-  while (true_time_ms () < 60000)
-    run_time_step ();
+  while (get_simulated_true_time_ms () < 60000)
+    simulate_one_time_step ();
   for (int64_t window = 0; window < 11; window++)
     {
-      assert_window_accepted (window);
+      assert_correct_report_of_window_accepted (window);
       cr_assert_lt (simulation.accepted_at[window] / LB_MSEC,
                     (window + 1) * WINDOW_MS + REPORT_DUE_MS);
       cr_assert (simulation.is_closed[window]);
     }
-  simulation_clear ();
+  usage_simulation_clear ();
 }
 
 /* The holder is killed after it recorded a report and before the platform answers, and no instance
@@ -314,42 +314,42 @@
  * unchanged, and report the missed windows. */
 Test (usage_reports, next_holder_resends_recorded_report_and_catches_up)
 {
-  simulation_init (2, false);
+  usage_simulation_init (2, false);
   lc_usage_reports_begin_duty (simulation.holders[0]);
   while (!simulation.recorded_text[1])
-    run_time_step ();
+    simulate_one_time_step ();
   lc_usage_reports_end_duty (simulation.holders[0]);
   simulation.expected_requests[1]
       += 7; /* requests of rows that arrive after the report was recorded */
-  while (true_time_ms () < 25000)
-    run_time_step ();
+  while (get_simulated_true_time_ms () < 25000)
+    simulate_one_time_step ();
   cr_assert_null (simulation.accepted_text[2]);
   lc_usage_reports_begin_duty (simulation.holders[1]);
-  while (true_time_ms () < 28000)
-    run_time_step ();
+  while (get_simulated_true_time_ms () < 28000)
+    simulate_one_time_step ();
   cr_assert_str_eq (simulation.accepted_text[1], simulation.recorded_text[1]);
-  assert_window_accepted (2);
-  assert_window_accepted (3);
-  simulation_clear ();
+  assert_correct_report_of_window_accepted (2);
+  assert_correct_report_of_window_accepted (3);
+  usage_simulation_clear ();
 }
 
 /* The store is down when a window ends, so instances could not write their rows. The report must
  * wait for these rows as long as it can still be sent before it is due. */
 Test (usage_reports, no_report_is_recorded_while_the_store_is_down)
 {
-  simulation_init (3, false);
+  usage_simulation_init (3, false);
   lc_usage_reports_begin_duty (simulation.holders[0]);
-  while (true_time_ms () < 7400)
-    run_time_step ();
+  while (get_simulated_true_time_ms () < 7400)
+    simulate_one_time_step ();
   simulation.store_down_until = simulation.now + 2 * LB_SEC;
   while (simulation.now < simulation.store_down_until + LB_SEC)
-    run_time_step ();
+    simulate_one_time_step ();
   cr_assert_null (simulation.recorded_text[0],
                   "instances must have time to write the rows that failed");
-  while (true_time_ms () < 5000 + REPORT_DUE_MS)
-    run_time_step ();
-  assert_window_accepted (0);
-  simulation_clear ();
+  while (get_simulated_true_time_ms () < 5000 + REPORT_DUE_MS)
+    simulate_one_time_step ();
+  assert_correct_report_of_window_accepted (0);
+  usage_simulation_clear ();
 }
 
 /* Random run: holders gain and lose the duty and overlap; store and platform are down at times,
@@ -362,11 +362,11 @@
 
   for (unsigned long seed = 1; seed <= n_seeds; seed++)
     {
-      simulation_init (seed, true);
+      usage_simulation_init (seed, true);
       lc_usage_reports_begin_duty (simulation.holders[0]);
-      while (true_time_ms () < (N_WINDOWS - 4) * WINDOW_MS)
+      while (get_simulated_true_time_ms () < (N_WINDOWS - 4) * WINDOW_MS)
         {
-          run_time_step ();
+          simulate_one_time_step ();
           inject_random_faults ();
         }
       simulation.injects_faults = false;
@@ -374,17 +374,17 @@
       for (int i = 1; i < N_HOLDERS; i++)
         lc_usage_reports_end_duty (simulation.holders[i]);
       lc_usage_reports_begin_duty (simulation.holders[0]);
-      while (true_time_ms () < N_WINDOWS * WINDOW_MS)
-        run_time_step ();
+      while (get_simulated_true_time_ms () < N_WINDOWS * WINDOW_MS)
+        simulate_one_time_step ();
       for (int64_t window = 0; window < N_WINDOWS - 4; window++)
         cr_assert (simulation.accepted_text[window], "seed %lu: window %lld was not reported", seed,
                    (long long)window);
-      simulation_clear ();
+      usage_simulation_clear ();
     }
 }
 
 static const char *
-expect_action (LcUsageReports *reports, LcUsageActionType type, LbTime now)
+expect_next_usage_action (LcUsageReports *reports, LcUsageActionType type, LbTime now)
 {
   LcUsageAction action;
 
@@ -406,14 +406,14 @@
 
   lc_usage_counts_add_requests (counts, "post", 5);
   lc_usage_reports_begin_duty (reports);
-  expect_action (reports, LC_USAGE_READ_REPORTS, 0);
+  expect_next_usage_action (reports, LC_USAGE_READ_REPORTS, 0);
   lc_usage_reports_add_window_with_rows (reports, 0);
   lc_usage_reports_read_reports_completed (reports, true, 0);
-  expect_action (reports, LC_USAGE_SUM_ROWS, 0);
+  expect_next_usage_action (reports, LC_USAGE_SUM_ROWS, 0);
   lc_usage_reports_sum_rows_completed (reports, 0, counts, 0);
-  cr_assert_str_eq (expect_action (reports, LC_USAGE_RECORD_REPORT, 0), "{\"post\":5}");
+  cr_assert_str_eq (expect_next_usage_action (reports, LC_USAGE_RECORD_REPORT, 0), "{\"post\":5}");
   lc_usage_reports_record_report_completed (reports, 0, false, "{\"post\":3}", 0);
-  cr_assert_str_eq (expect_action (reports, LC_USAGE_SEND_REPORT, 0), "{\"post\":3}");
+  cr_assert_str_eq (expect_next_usage_action (reports, LC_USAGE_SEND_REPORT, 0), "{\"post\":3}");
   lc_usage_counts_free (counts);
   lc_usage_reports_free (reports);
 }
--- a/packages/core/tests/test-weights.c
+++ b/packages/core/tests/test-weights.c
@@ -58,7 +58,7 @@
   cr_assert_eq (swap->type, LC_WEIGHTS_UPDATE_ROUTING);
   cr_assert_geq (swap->expected_at - pool.now, pool.load_time);
   cr_assert_lt (swap->expected_at - pool.now, pool.load_time + LB_SEC);
-  fake_pool_free_actions (&actions);
+  fake_pool_free_weights_actions (&actions);
 }
 
 /* roll_out_percent would allow all engines to swap at once. The live reserve must limit the swaps,
@@ -70,7 +70,7 @@
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_until_rolled_out (&pool, 41, 60 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 10);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 10);
   cr_assert_eq (pool.most_unavailable, 4);
 }
 
@@ -83,7 +83,7 @@
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_until_rolled_out (&pool, 41, 60 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 2);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 2);
   cr_assert_eq (pool.most_unavailable, 1);
 }
 
@@ -94,7 +94,7 @@
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_until_rolled_out (&pool, 41, 60 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 1);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 1);
 }
 
 Test (weights, failed_load_is_retried_without_blocking_others)
@@ -103,7 +103,7 @@
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_until_rolled_out (&pool, 41, 60 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 12);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 12);
   cr_assert_eq (pool.orders, 13);
   cr_assert_eq (get_weights_status ().failed, 0);
 }
@@ -116,7 +116,7 @@
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_for (&pool, 120 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 11);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 11);
   cr_assert_geq (pool.orders, 14);
   cr_assert_leq (pool.orders, 18);
 }
@@ -130,14 +130,14 @@
 
   fake_pool_run_for (&pool, 2 * LB_SEC);
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
-  fake_pool_execute_orders (&pool);
+  fake_pool_execute_load_orders (&pool);
   cr_assert_eq (pool.orders, 3);
   lb_list_init (&actions);
   report.requested_at = pool.now - 1;
   for (size_t i = 0; i < pool.n; i++)
     lc_weights_report_received (pool.weights, pool.engines[i].name, &report, pool.now, &actions);
   cr_assert (lb_list_is_empty (&actions), "an old report must not end the swap in routing");
-  fake_pool_execute_orders (&pool);
+  fake_pool_execute_load_orders (&pool);
 
   cr_assert_eq (pool.orders, 3);
 }
@@ -154,7 +154,7 @@
   lc_weights_lease_changed (pool.weights, pool.now);
   fake_pool_run_until_rolled_out (&pool, 41, 60 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 12);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 12);
   cr_assert_eq (pool.most_loading, 3);
 }
 
@@ -166,7 +166,7 @@
     pool.engines[i].fail_loads = 1000;
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_for (&pool, 120 * LB_SEC);
-  cr_assert_geq (fake_pool_count_serving (&pool, 40), 3);
+  cr_assert_geq (fake_pool_count_engines_serving (&pool, 40), 3);
   cr_assert_eq (get_weights_status ().wait_reason, LC_WEIGHTS_HALTED);
 
   for (size_t i = 0; i < pool.n; i++)
@@ -177,7 +177,7 @@
   pool.set->pools[0].weight_version = 40;
   lc_weights_configure (pool.weights, pool.set, pool.now);
   fake_pool_run_until_rolled_out (&pool, 40, 60 * LB_SEC);
-  cr_assert_eq (fake_pool_count_serving (&pool, 40), 12);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 40), 12);
 }
 
 /* The lease holder crashes while three engines load. The new holder must read the engines first and
@@ -187,10 +187,10 @@
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_for (&pool, 3 * LB_SEC / 2);
   cr_assert_eq (pool.most_loading, 3);
-  fake_pool_move_lease (&pool, 41);
+  fake_pool_replace_lease_holder (&pool, 41);
   fake_pool_run_until_rolled_out (&pool, 41, 60 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 12);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 12);
   cr_assert_eq (pool.most_loading, 3);
   cr_assert_eq (pool.orders, 12);
 }
@@ -201,11 +201,11 @@
 {
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_for (&pool, 4 * LB_SEC);
-  size_t had_41 = fake_pool_count_serving (&pool, 41);
+  size_t had_41 = fake_pool_count_engines_serving (&pool, 41);
   lc_weights_set_newest_version (pool.weights, 42, pool.now);
   fake_pool_run_until_rolled_out (&pool, 42, 60 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 42), 12);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 42), 12);
   cr_assert_leq (pool.orders, 12 + had_41 + 3);
   cr_assert_eq (pool.most_loading, 3);
 }
@@ -237,7 +237,7 @@
   lc_weights_configure (pool.weights, pool.set, pool.now);
   fake_pool_run_until_rolled_out (&pool, 40, 60 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 40), 12);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 40), 12);
 }
 
 /* Engine 3 ignores fencing tokens, and a delayed order of an earlier lease holder reverts it to
@@ -251,7 +251,7 @@
   fake_pool_run_for (&pool, 3 * LB_SEC);
   fake_pool_run_until_rolled_out (&pool, 41, 60 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 12);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 12);
   cr_assert_eq (pool.orders, 13);
 }
 
@@ -266,12 +266,12 @@
   pool.can_order_unfenced = false;
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_for (&pool, 60 * LB_SEC);
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 6);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 6);
   cr_assert_eq (get_weights_status ().wait_reason, LC_WEIGHTS_NO_LEASE);
   pool.can_order_unfenced = true;
   fake_pool_run_until_rolled_out (&pool, 41, 60 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 12);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 12);
 }
 
 /* Two of three engines are lost permanently. The third must keep serving 40 for a while, since the
@@ -299,11 +299,11 @@
   pool.engines[5].ignores_orders = true;
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_for (&pool, 20 * LB_SEC);
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 11);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 11);
   pool.engines[5].ignores_orders = false;
   fake_pool_run_until_rolled_out (&pool, 41, 60 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 12);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 12);
 }
 
 /* Three engines die just before the roll-out, while their known state is still serving. Their
@@ -327,10 +327,10 @@
   fake_pool_run_for (&pool, LB_SEC);
   pool.load_time = 2 * LB_SEC;
   fake_pool_run_for (&pool, 100 * LB_SEC);
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 0);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 0);
   fake_pool_run_for (&pool, 60 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 9);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 9);
 }
 
 /* Reports that were requested before the holder lost the lease arrive after it has regained the
@@ -346,7 +346,7 @@
   lc_weights_lease_changed (pool.weights, pool.now);
   for (size_t i = 0; i < pool.n; i++)
     lc_weights_report_received (pool.weights, pool.engines[i].name, &report, pool.now, &actions);
-  fake_pool_execute_orders (&pool);
+  fake_pool_execute_load_orders (&pool);
 
   cr_assert_eq (pool.orders, 0);
 }
@@ -371,11 +371,11 @@
   fake_pool_run_for (&pool, LB_SEC);
   for (size_t i = 0; i < N_SILENT; i++)
     pool.engines[i].dead = true;
-  fake_pool_move_lease (&pool, 41);
+  fake_pool_replace_lease_holder (&pool, 41);
   fake_pool_run_for (&pool, LB_SEC);
   cr_assert_eq (pool.orders, N_ENGINES * PERCENT / 100);
   fake_pool_run_for (&pool, 5 * LB_SEC);
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), N_ENGINES - N_SILENT);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), N_ENGINES - N_SILENT);
 }
 
 /* The status of a model must be correct without a tick, since a model is not ticked while loads of
@@ -389,8 +389,8 @@
   fake_pool_run_for (&pool, LB_SEC);
   for (size_t i = 0; i < pool.n; i++)
     pool.engines[i].dead = true;
-  fake_pool_move_lease (&pool, 41);
-  fake_pool_execute_orders (&pool);
+  fake_pool_replace_lease_holder (&pool, 41);
+  fake_pool_execute_load_orders (&pool);
   cr_assert_eq (get_weights_status ().swapping, 20);
   pool.now += 500 * LB_MSEC;
   cr_assert_eq (get_weights_status ().swapping, 0);
@@ -405,7 +405,7 @@
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
   fake_pool_run_for (&pool, 60 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 8);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 8);
 }
 
 /* A delayed answer of the weight store reports version 40 after 41. It must be ignored. */
@@ -416,7 +416,7 @@
   lc_weights_set_newest_version (pool.weights, 40, pool.now);
   fake_pool_run_for (&pool, 20 * LB_SEC);
 
-  cr_assert_eq (fake_pool_count_serving (&pool, 41), 12);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 12);
 }
 
 Test (weights, load_orders_stay_within_the_rate_limit)
@@ -431,7 +431,7 @@
 }
 
 static void
-inject_random_fault (gsl_rng *rng, LcVersion *version)
+inject_random_weight_load_fault (gsl_rng *rng, LcVersion *version)
 {
   FakeEngine *engine = &pool.engines[gsl_rng_uniform_int (rng, pool.n)];
 
@@ -441,7 +441,7 @@
       lc_weights_set_newest_version (pool.weights, ++*version, pool.now);
       break;
     case 1:
-      fake_pool_move_lease (&pool, *version);
+      fake_pool_replace_lease_holder (&pool, *version);
       break;
     case 2:
       engine->fail_loads = 1 + (int)gsl_rng_uniform_int (rng, 3);
@@ -474,7 +474,7 @@
   lc_weights_set_newest_version (pool.weights, version, pool.now);
   for (int i = 0; i < 2000; i++)
     {
-      inject_random_fault (rng, &version);
+      inject_random_weight_load_fault (rng, &version);
       fake_pool_run_for (&pool, (LbTime)(gsl_rng_uniform (rng) * 4 * LB_SEC));
       cr_assert_leq (pool.most_loading, 3,
                      "expected at most 3 engines to load at once, after fault %d", i);
@@ -487,7 +487,7 @@
   pool.can_order_fenced = true;
   pool.can_order_unfenced = true;
   fake_pool_run_until_rolled_out (&pool, version, 200 * LB_SEC);
-  cr_assert_eq (fake_pool_count_serving (&pool, version), pool.n);
+  cr_assert_eq (fake_pool_count_engines_serving (&pool, version), pool.n);
   cr_assert_gt (pool.orders, 1000);
   gsl_rng_free (rng);
 }
