--- a/packages/sim/include/lx-audit.h
+++ b/packages/sim/include/lx-audit.h
@@ -66,18 +66,20 @@
   size_t n_jobs;
   LxStreamRecord *streams;
   size_t n_streams;
-  LxStepTokens *steps; /* index: step * number of trainers + trainer */
+  LxStepTokens *steps; /* indexed by step * number of trainers + trainer */
   size_t n_steps;
 } LxAudit;
 
 void lx_audit_init (LxAudit *audit);
 void lx_audit_clear (LxAudit *audit);
 
-/* Functions that add a job or a stream return the number of the new entry, counted from 1. */
+/* --- functions that add to the audit --- */
 void lx_audit_report_violation (
     LxAudit *audit, LxViolation violation, LbTime now, uint64_t event, const char *format, ...)
     __attribute__ ((format (printf, 5, 6)));
+/* Returns the number of the new job, counted from 1. */
 uint64_t lx_audit_add_job (LxAudit *audit, const LxJob *job);
+/* Returns the number of the new stream, counted from 1. */
 uint64_t lx_audit_add_stream (LxAudit *audit, uint64_t job, LbTime now);
 void lx_audit_add_generated_tokens (
     LxAudit *audit, uint64_t stream, int64_t offset, int64_t tokens, LcVersion version, LbTime now);
--- a/packages/sim/include/lx-engine.h
+++ b/packages/sim/include/lx-engine.h
@@ -133,8 +133,8 @@
 void lx_engine_crash (LxEngine *engine);
 /* Starts a new process of the endpoint with this weight version; 0: without weights. */
 void lx_engine_start (LxEngine *engine, LcVersion version);
-/* Closes the connections of all streams. If silent, the connections stay open, but the endpoint
- * sends nothing more on them. */
+/* Closes the connections of all streams or, if silent, keeps the connections open, but sends
+ * nothing more on them. */
 void lx_engine_break_streams (LxEngine *engine, bool silent);
 
 /* --- functions that only read the endpoint --- */
--- a/packages/sim/include/lx-faults.h
+++ b/packages/sim/include/lx-faults.h
@@ -8,9 +8,10 @@
 typedef enum
 {
   LX_FAULT_ENGINE_CRASH,
-  LX_FAULT_STREAMS_BREAK,   /* all connections of an endpoint are closed */
-  LX_FAULT_STREAMS_SILENT,  /* an endpoint sends nothing on its open connections */
-  LX_FAULT_PIECES_GARBLED,  /* for a while, pieces are late or doubled; messages may get lost */
+  LX_FAULT_STREAMS_BREAK,  /* all connections of an endpoint are closed */
+  LX_FAULT_STREAMS_SILENT, /* an endpoint sends nothing on its open connections */
+  /* for a while, pieces are late or doubled, and configuration messages late, doubled or lost */
+  LX_FAULT_PIECES_GARBLED,
   LX_FAULT_VERSION_MISSING, /* some pieces lack their weight version for a while */
   LX_FAULT_SWAP_FAILS,      /* the next weight switch leaves an engine without weights */
   LX_FAULT_ENDPOINT_LEAVES, /* an endpoint refuses work, completes its streams, restarts */
@@ -31,7 +32,7 @@
   uint32_t enabled_kinds; /* bit i: LxFault i is injected; 0: no faults */
   LbTime mean_interval;   /* mean time between injections */
   uint64_t n_injections;
-  const uint8_t *skipped; /* nonzero at i: injection number i is skipped; NULL: no injection */
+  const uint8_t *skipped; /* nonzero at i: injection number i is skipped; NULL: none is skipped */
   size_t n_skipped;
   LbTime garbled_until;
   LbTime versions_missing_until;
--- a/packages/sim/include/lx-instance.h
+++ b/packages/sim/include/lx-instance.h
@@ -108,12 +108,13 @@
 /* Returns false and sets the error if the call is refused as "not run". */
 bool lx_instance_submit_call (
     LxInstance *instance, LcRequestSpec *spec, uint64_t job, LxCall *call, LbError *error);
-/* Sends a piece or the end of a stream from an endpoint to the instance. A piece arrives after the
- * one-way network latency, an end after the latency plus `delay`. */
+/* Schedules the arrival of a piece of a stream at the instance, after the one-way network latency
+ * from the engine. */
 void lx_instance_schedule_piece_arrival (LxInstance *instance,
                                          const LxEngine *engine,
                                          const LxStreamSpec *stream,
                                          const LcPiece *piece);
+/* Schedules the arrival of the end of a stream, after the one-way network latency plus `delay`. */
 void lx_instance_schedule_stream_end_arrival (LxInstance *instance,
                                               const LxEngine *engine,
                                               const LxStreamSpec *stream,
--- a/packages/sim/include/lx-queue.h
+++ b/packages/sim/include/lx-queue.h
@@ -9,7 +9,7 @@
 /* Handles a due event. Takes ownership of argument if the event was added with free_argument. */
 typedef void (*LxEventHandler) (void *owner, void *argument);
 
-/* The clock starts at one second, so that 0 is never a valid time. */
+/* Creates an empty queue. Its clock starts at one second, so that 0 is never a valid time. */
 LxQueue *lx_queue_new (void);
 void lx_queue_free (LxQueue *queue);
 
--- a/packages/sim/src/lx-audit.c
+++ b/packages/sim/src/lx-audit.c
@@ -50,7 +50,7 @@
 /* Makes room for one more element after the first n. The capacity is always a power of two and
  * doubles when n reaches the capacity. */
 static void *
-grow_array (void *array, size_t n, size_t element_size)
+grow_array_if_full (void *array, size_t n, size_t element_size)
 {
   if (n > 0 && (n & (n - 1)) != 0)
     return array;
@@ -60,7 +60,7 @@
 uint64_t
 lx_audit_add_job (LxAudit *audit, const LxJob *job)
 {
-  audit->jobs = grow_array (audit->jobs, audit->n_jobs, sizeof (LxJob));
+  audit->jobs = grow_array_if_full (audit->jobs, audit->n_jobs, sizeof (LxJob));
   audit->jobs[audit->n_jobs++] = *job;
   return audit->n_jobs;
 }
@@ -68,7 +68,7 @@
 uint64_t
 lx_audit_add_stream (LxAudit *audit, uint64_t job, LbTime now)
 {
-  audit->streams = grow_array (audit->streams, audit->n_streams, sizeof (LxStreamRecord));
+  audit->streams = grow_array_if_full (audit->streams, audit->n_streams, sizeof (LxStreamRecord));
   audit->streams[audit->n_streams++] = (LxStreamRecord){ .job = job, .started_at = now };
   return audit->n_streams;
 }
@@ -78,7 +78,7 @@
 {
   while (audit->n_steps <= step)
     {
-      audit->steps = grow_array (audit->steps, audit->n_steps, sizeof (LxStepTokens));
+      audit->steps = grow_array_if_full (audit->steps, audit->n_steps, sizeof (LxStepTokens));
       audit->steps[audit->n_steps++] = (LxStepTokens){ 0 };
     }
   return &audit->steps[step];
--- a/packages/sim/src/lx-callers.c
+++ b/packages/sim/src/lx-callers.c
@@ -59,7 +59,7 @@
 }
 
 static void
-add_latency (double **values, size_t *n, LbTime duration)
+append_latency_ms (double **values, size_t *n, LbTime duration)
 {
   if ((*n & (*n - 1)) == 0)
     *values = lb_realloc (*values, (*n ? 2 * *n : 1) * sizeof (double));
@@ -67,7 +67,7 @@
 }
 
 static void
-record_answer (LxCallers *callers, LxCall *call)
+check_and_record_complete_answer (LxCallers *callers, LxCall *call)
 {
   LxWorld *world = callers->world;
   LbTime now = lx_world_now (world);
@@ -81,13 +81,13 @@
                                call->job, lx_text_count_tokens (&call->text), call->total_tokens);
   if (call->kind != LC_KIND_LIVE)
     return;
-  add_latency (&callers->latencies_ms, &callers->n_latencies, now - call->sent_at);
-  add_latency (&callers->first_piece_latencies_ms, &callers->n_first_piece_latencies,
-               call->first_piece_at - call->sent_at);
+  append_latency_ms (&callers->latencies_ms, &callers->n_latencies, now - call->sent_at);
+  append_latency_ms (&callers->first_piece_latencies_ms, &callers->n_first_piece_latencies,
+                     call->first_piece_at - call->sent_at);
 }
 
 static void
-on_answer_arrived (void *owner, void *argument)
+on_piece_or_result_arrived (void *owner, void *argument)
 {
   LxCallers *callers = owner;
   Answer *answer = argument;
@@ -106,7 +106,7 @@
       call->result->error = answer->error;
     }
   if (answer->error == LB_OK)
-    record_answer (callers, call);
+    check_and_record_complete_answer (callers, call);
   else if (lb_error_proves_request_not_run (answer->error))
     callers->refused++;
   else
@@ -117,27 +117,30 @@
 }
 
 static void
-send_answer (LxCallers *callers, const Answer *answer)
+schedule_piece_or_result_arrival (LxCallers *callers, const Answer *answer)
 {
   lx_world_schedule (callers->world, callers->world->options.site->client_latency,
-                     on_answer_arrived, callers, lb_memdup (answer, sizeof *answer), free);
+                     on_piece_or_result_arrived, callers, lb_memdup (answer, sizeof *answer), free);
 }
 
-/* Sends a piece from the instance to the caller. */
+/* Schedules the arrival of a piece of the answer at the caller. */
 void
 lx_callers_schedule_piece_arrival (LxCallers *callers,
                                    LxCall *call,
                                    uint64_t stream,
                                    const LcPiece *piece)
 {
-  send_answer (callers, &(Answer){ .call = call, .stream = stream, .piece = *piece });
+  schedule_piece_or_result_arrival (callers,
+                                    &(Answer){ .call = call, .stream = stream, .piece = *piece });
 }
 
-/* Sends the final result from the instance to the caller. The call must not be used afterwards. */
+/* Schedules the arrival of the final result at the caller. The instance must not use the call
+ * afterwards. */
 void
 lx_callers_schedule_result_arrival (LxCallers *callers, LxCall *call, LbErrorCode error)
 {
-  send_answer (callers, &(Answer){ .call = call, .is_end = true, .error = error });
+  schedule_piece_or_result_arrival (callers,
+                                    &(Answer){ .call = call, .is_end = true, .error = error });
 }
 
 static void
@@ -189,7 +192,7 @@
 }
 
 static void
-on_call_arrived (void *owner, void *argument)
+on_call_arrived_at_instance (void *owner, void *argument)
 {
   LxCallers *callers = owner;
   Submission *submission = argument;
@@ -231,7 +234,7 @@
 }
 
 static void
-send_call (LxCallers *callers, Submission *submission)
+add_job_and_send_call (LxCallers *callers, Submission *submission)
 {
   LxWorld *world = callers->world;
   LxCall *call = submission->call;
@@ -239,8 +242,8 @@
   call->job = lx_audit_add_job (&world->audit, &(LxJob){ .kind = call->kind,
                                                          .repeatable = submission->spec.repeatable,
                                                          .total_tokens = call->total_tokens });
-  lx_world_schedule (world, world->options.site->client_latency, on_call_arrived, callers,
-                     submission, free);
+  lx_world_schedule (world, world->options.site->client_latency, on_call_arrived_at_instance,
+                     callers, submission, free);
 }
 
 void
@@ -254,7 +257,7 @@
   if (!spec->is_service_call)
     submission->call->total_tokens = spec->tokens;
   submission->call->result = spec->result;
-  send_call (callers, submission);
+  add_job_and_send_call (callers, submission);
   spec->result->job = submission->call->job;
 }
 
@@ -270,7 +273,7 @@
   LxCallers *callers = owner;
 
   (void)argument;
-  send_call (callers, new_call_submission (callers, false));
+  add_job_and_send_call (callers, new_call_submission (callers, false));
   lx_world_schedule (callers->world,
                      draw_call_interval (callers, callers->world->options.calls_per_second),
                      on_model_call_due, callers, NULL, NULL);
@@ -282,7 +285,7 @@
   LxCallers *callers = owner;
 
   (void)argument;
-  send_call (callers, new_call_submission (callers, true));
+  add_job_and_send_call (callers, new_call_submission (callers, true));
   lx_world_schedule (callers->world,
                      draw_call_interval (callers, callers->world->options.service_calls_per_second),
                      on_service_call_due, callers, NULL, NULL);
@@ -290,7 +293,7 @@
 
 /* Reports calls that have no final answer OVERDUE_GRACE_TIME after their deadline. */
 static void
-on_overdue_call_check (void *owner, void *argument)
+report_calls_unanswered_after_deadline (void *owner, void *argument)
 {
   LxCallers *callers = owner;
   LxWorld *world = callers->world;
@@ -307,13 +310,15 @@
                                "call of job %" PRIu64 " has no answer after its deadline",
                                call->job);
   }
-  lx_world_schedule (world, OVERDUE_CHECK_INTERVAL, on_overdue_call_check, callers, NULL, NULL);
+  lx_world_schedule (world, OVERDUE_CHECK_INTERVAL, report_calls_unanswered_after_deadline, callers,
+                     NULL, NULL);
 }
 
 void
 lx_callers_start (LxCallers *callers)
 {
-  lx_world_schedule (callers->world, LB_SEC, on_overdue_call_check, callers, NULL, NULL);
+  lx_world_schedule (callers->world, LB_SEC, report_calls_unanswered_after_deadline, callers, NULL,
+                     NULL);
   lx_world_schedule (callers->world, LB_SEC, on_model_call_due, callers, NULL, NULL);
   lx_world_schedule (callers->world, LB_SEC, on_service_call_due, callers, NULL, NULL);
 }
--- a/packages/sim/src/lx-engine.c
+++ b/packages/sim/src/lx-engine.c
@@ -57,7 +57,7 @@
 }
 
 static double
-get_seconds_per_token (const LxEngine *engine)
+compute_seconds_per_token (const LxEngine *engine)
 {
   size_t others = engine->running.length > 0 ? engine->running.length - 1 : 0;
 
@@ -73,7 +73,7 @@
 
   if (!engine->paused)
     engine->token_clock
-        += (double)(now - engine->token_clock_at) / LB_SEC / get_seconds_per_token (engine);
+        += (double)(now - engine->token_clock_at) / LB_SEC / compute_seconds_per_token (engine);
   engine->token_clock_at = now;
 }
 
@@ -127,7 +127,7 @@
 /* Returns the share of the prompt, 0..1, that is not in the prefix cache, and stores the missing
  * blocks in the cache. */
 static double
-look_up_prompt_in_cache (LxEngine *engine, const LxStreamSpec *spec)
+cache_prompt_and_get_uncached_share (LxEngine *engine, const LxStreamSpec *spec)
 {
   size_t n_cached = 0;
   bool is_in_cached_prefix = true;
@@ -161,9 +161,9 @@
 }
 
 static void
-start_stream (LxEngine *engine, LxStream *stream)
+start_waiting_stream (LxEngine *engine, LxStream *stream)
 {
-  double uncached_share = look_up_prompt_in_cache (engine, &stream->spec);
+  double uncached_share = cache_prompt_and_get_uncached_share (engine, &stream->spec);
   double prefill_clock = (double)(stream->spec.prompt_tokens + stream->next_token) * uncached_share
                          * engine->times.prefill_token_seconds / engine->times.token_seconds;
 
@@ -182,12 +182,12 @@
 
       advance_token_clock (engine);
       lb_list_append (&engine->running, &stream->link);
-      start_stream (engine, stream);
+      start_waiting_stream (engine, stream);
     }
 }
 
 static void
-end_stream (LxEngine *engine, LxStream *stream, LcAttemptEnd end)
+remove_and_end_stream (LxEngine *engine, LxStream *stream, LcAttemptEnd end)
 {
   lb_list_remove (stream->is_running ? &engine->running : &engine->waiting, &stream->link);
   if (!stream->is_silent)
@@ -204,7 +204,7 @@
 
 /* Sends the tokens that the stream has generated since its last piece. */
 static void
-send_piece (LxEngine *engine, LxStream *stream, int64_t tokens)
+send_generated_tokens_as_piece (LxEngine *engine, LxStream *stream, int64_t tokens)
 {
   LcPiece piece = { .offset = stream->next_token,
                     .tokens = tokens,
@@ -218,13 +218,13 @@
 }
 
 static void
-finish_due_piece (LxEngine *engine, LxStream *stream)
+send_due_piece_and_schedule_next (LxEngine *engine, LxStream *stream)
 {
   double due_clock = stream->piece_due_clock;
 
-  send_piece (engine, stream, stream->piece_tokens);
+  send_generated_tokens_as_piece (engine, stream, stream->piece_tokens);
   if (stream->next_token == stream->spec.total_tokens)
-    end_stream (engine, stream, LC_END_COMPLETE);
+    remove_and_end_stream (engine, stream, LC_END_COMPLETE);
   else
     schedule_next_piece (stream,
                          stream->spec.kind == LC_KIND_SAMPLE ? SAMPLE_PIECE_TOKENS
@@ -243,7 +243,7 @@
   LB_LIST_FOREACH (&engine->running, LxStream, link, stream)
   {
     if (stream->piece_due_clock <= engine->token_clock + TOKEN_CLOCK_TOLERANCE)
-      finish_due_piece (engine, stream);
+      send_due_piece_and_schedule_next (engine, stream);
   }
   fill_running_batch (engine);
   set_piece_timer (engine);
@@ -264,14 +264,14 @@
   if (isinf (next))
     return;
 
-  double wait = (next - engine->token_clock) * get_seconds_per_token (engine) * LB_SEC;
+  double wait = (next - engine->token_clock) * compute_seconds_per_token (engine) * LB_SEC;
   LbTime at = lx_queue_now (engine->queue) + (LbTime)ceil (fmax (wait, 0));
   lx_queue_add_event (engine->queue, at, on_piece_timer, engine,
                       (void *)(uintptr_t)engine->timer_number, NULL);
 }
 
 static int
-get_queue_priority (const LxStreamSpec *spec)
+get_stream_queue_priority (const LxStreamSpec *spec)
 {
   return (spec->kind == LC_KIND_SAMPLE ? 0 : CALL_PRIORITY_OFFSET) + spec->priority;
 }
@@ -282,8 +282,8 @@
   LbLink *position = &engine->waiting.head;
 
   while (position->prev != &engine->waiting.head
-         && get_queue_priority (&LB_CONTAINER (position->prev, LxStream, link)->spec)
-                < get_queue_priority (&stream->spec))
+         && get_stream_queue_priority (&LB_CONTAINER (position->prev, LxStream, link)->spec)
+                < get_stream_queue_priority (&stream->spec))
     position = position->prev;
   lb_list_insert_before (&engine->waiting, position, &stream->link);
 }
@@ -339,7 +339,7 @@
         }
     }
   stream->is_silent = true;
-  end_stream (engine, stream, LC_END_BROKEN);
+  remove_and_end_stream (engine, stream, LC_END_BROKEN);
   fill_running_batch (engine);
   set_piece_timer (engine);
 }
@@ -356,7 +356,7 @@
 
     if (generated > 0 && generated < stream->piece_tokens)
       {
-        send_piece (engine, stream, generated);
+        send_generated_tokens_as_piece (engine, stream, generated);
         stream->piece_tokens -= generated;
       }
   }
@@ -414,13 +414,13 @@
 }
 
 static void
-break_streams_of_list (LxEngine *engine, LbList *list, bool silent)
+break_or_silence_streams_of_list (LxEngine *engine, LbList *list, bool silent)
 {
   LB_LIST_FOREACH (list, LxStream, link, stream)
   {
     if (!silent)
       {
-        end_stream (engine, stream, LC_END_BROKEN);
+        remove_and_end_stream (engine, stream, LC_END_BROKEN);
       }
     else if (!stream->is_silent)
       {
@@ -430,13 +430,13 @@
   }
 }
 
-/* If silent, the streams continue to generate tokens, but send nothing. */
+/* Silent streams continue to generate tokens, but send nothing. */
 void
 lx_engine_break_streams (LxEngine *engine, bool silent)
 {
   advance_token_clock (engine);
-  break_streams_of_list (engine, &engine->running, silent);
-  break_streams_of_list (engine, &engine->waiting, silent);
+  break_or_silence_streams_of_list (engine, &engine->running, silent);
+  break_or_silence_streams_of_list (engine, &engine->waiting, silent);
   set_piece_timer (engine);
 }
 
@@ -469,7 +469,7 @@
                             .version = engine->paused ? 0 : engine->version,
                             .running = (int64_t)engine->running.length,
                             .waiting = (int64_t)engine->waiting.length,
-                            .tokens_per_second = 1.0 / get_seconds_per_token (engine),
+                            .tokens_per_second = 1.0 / compute_seconds_per_token (engine),
                             .kv_used = (double)engine->running.length / (double)engine->concurrency,
                             .measured_at = lx_queue_now (engine->queue) };
   snprintf (report->incarnation, sizeof report->incarnation, "%.30s-%u", engine->name,
--- a/packages/sim/src/lx-faults.c
+++ b/packages/sim/src/lx-faults.c
@@ -101,7 +101,7 @@
 
 /* Restarts a leaving endpoint once its last stream has ended. */
 static void
-on_endpoint_leave_check (void *owner, void *argument)
+restart_leaving_endpoint_if_idle (void *owner, void *argument)
 {
   LxWorld *world = owner;
   LxEngine *engine = argument;
@@ -109,7 +109,7 @@
   if (!engine->alive || !engine->leaving)
     return;
   if (lx_engine_count_streams (engine) > 0)
-    lx_world_schedule (world, LB_SEC, on_endpoint_leave_check, world, engine, NULL);
+    lx_world_schedule (world, LB_SEC, restart_leaving_endpoint_if_idle, world, engine, NULL);
   else
     crash_and_restart_engine (world, engine, LEAVING_ENDPOINT_RESTART_TIME);
 }
@@ -121,8 +121,8 @@
     return;
   engine->leaving = true;
   engine->leaving_since = lx_world_now (world);
-  lx_world_schedule (world, FIRST_ENDPOINT_LEAVE_CHECK_DELAY, on_endpoint_leave_check, world,
-                     engine, NULL);
+  lx_world_schedule (world, FIRST_ENDPOINT_LEAVE_CHECK_DELAY, restart_leaving_endpoint_if_idle,
+                     world, engine, NULL);
 }
 
 static size_t
@@ -295,7 +295,7 @@
 }
 
 static void
-inject_fault_at_random_target (Injection *injection, LxFault fault)
+inject_fault_into_random_target (Injection *injection, LxFault fault)
 {
   LxWorld *world = injection->faults->world;
 
@@ -325,7 +325,7 @@
 }
 
 static void
-on_injection_due (void *owner, void *argument)
+on_fault_injection_due (void *owner, void *argument)
 {
   LxFaults *faults = owner;
   Injection injection = { .faults = faults, .number = faults->n_injections++ };
@@ -336,21 +336,22 @@
   (void)argument;
   lx_world_schedule (faults->world,
                      (LbTime)(-log (1 - interval_draw) * (double)faults->mean_interval),
-                     on_injection_due, faults, NULL, NULL);
+                     on_fault_injection_due, faults, NULL, NULL);
   if (injection.number < faults->n_skipped && faults->skipped[injection.number])
     return;
-  inject_fault_at_random_target (&injection, fault);
+  inject_fault_into_random_target (&injection, fault);
   /* With a probability of 0.2 injects the same fault again at a random target, with a further
    * probability of 0.2 a second random fault, so that faults occur together. */
   if (second_fault_draw < 0.2)
-    inject_fault_at_random_target (&injection, fault);
+    inject_fault_into_random_target (&injection, fault);
   else if (second_fault_draw < 0.4)
-    inject_fault_at_random_target (&injection, draw_enabled_fault (&injection));
+    inject_fault_into_random_target (&injection, draw_enabled_fault (&injection));
 }
 
 void
 lx_faults_start (LxFaults *faults)
 {
   if (faults->enabled_kinds != 0)
-    lx_world_schedule (faults->world, FIRST_INJECTION_DELAY, on_injection_due, faults, NULL, NULL);
+    lx_world_schedule (faults->world, FIRST_INJECTION_DELAY, on_fault_injection_due, faults, NULL,
+                       NULL);
 }
--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -19,7 +19,7 @@
 static void execute_config_actions (LxInstance *instance);
 
 static LbTime
-current_time (const LxInstance *instance)
+get_simulation_time (const LxInstance *instance)
 {
   return lx_world_now (instance->world);
 }
@@ -46,7 +46,7 @@
   const ConfigMessageInTransit *transit = argument;
 
   lc_config_message_received (instance->config, transit->from, &transit->message,
-                              current_time (instance), &instance->config_actions);
+                              get_simulation_time (instance), &instance->config_actions);
   execute_config_actions (instance);
 }
 
@@ -112,11 +112,11 @@
   HeadRead *head_read = argument;
 
   if (head_read->failed)
-    lc_config_store_read_failed (instance->config, current_time (instance),
+    lc_config_store_read_failed (instance->config, get_simulation_time (instance),
                                  &instance->config_actions);
   else
     lc_config_store_read_completed (instance->config, head_read->revision, head_read->set,
-                                    head_read->requested_at, current_time (instance),
+                                    head_read->requested_at, get_simulation_time (instance),
                                     &instance->config_actions);
   head_read->set = NULL;
   execute_config_actions (instance);
@@ -128,21 +128,21 @@
   LxWorld *world = instance->world;
   HeadRead *head_read = LB_NEW (HeadRead);
 
-  head_read->requested_at = current_time (instance);
-  head_read->failed = current_time (instance) < world->store.unavailable_until;
+  head_read->requested_at = get_simulation_time (instance);
+  head_read->failed = get_simulation_time (instance) < world->store.unavailable_until;
   head_read->revision = world->registry.accepted->revision;
   if (!head_read->failed && head_read->revision > lc_config_active_revision (instance->config))
     head_read->set = lc_resource_set_copy (world->registry.accepted);
   LbTime delay = head_read->failed ? STORE_TIMEOUT : STORE_ROUND_TRIP_TIME;
   /* While LX_FAULT_REPLIES_LOST is active, the reply arrives late and may then be outdated. */
-  if (current_time (instance) < world->store.replies_lost_until)
+  if (get_simulation_time (instance) < world->store.replies_lost_until)
     delay += (LbTime)(gsl_rng_uniform (world->random)
                       * (double)(STORE_TIMEOUT - STORE_ROUND_TRIP_TIME));
   lx_instance_post_message (instance, delay, on_head_read_completed, head_read, free_head_read);
 }
 
 static void
-execute_config_action (LxInstance *instance, const LcConfigAction *action)
+execute_config_action_of_instance (LxInstance *instance, const LcConfigAction *action)
 {
   switch (action->type)
     {
@@ -163,7 +163,7 @@
 static void
 on_config_tick (LxInstance *instance, void *argument)
 {
-  LbTime now = current_time (instance);
+  LbTime now = get_simulation_time (instance);
 
   (void)argument;
   if (now < instance->next_config_tick_at)
@@ -181,7 +181,7 @@
   while ((link = lb_list_pop (&instance->config_actions)))
     {
       LcConfigAction *action = LB_CONTAINER (link, LcConfigAction, link);
-      execute_config_action (instance, action);
+      execute_config_action_of_instance (instance, action);
       lc_config_action_free (action);
     }
 
@@ -189,11 +189,12 @@
   if (due >= instance->next_config_tick_at)
     return;
   instance->next_config_tick_at = due;
-  lx_instance_post_message (instance, due - current_time (instance), on_config_tick, NULL, NULL);
+  lx_instance_post_message (instance, due - get_simulation_time (instance), on_config_tick, NULL,
+                            NULL);
 }
 
 static bool
-is_alive_for_membership (const LxInstance *instance, LbTime now)
+does_membership_list_as_alive (const LxInstance *instance, LbTime now)
 {
   bool paused = instance->paused_until > now && instance->paused_at + FAILURE_DETECTION_TIME < now;
 
@@ -215,13 +216,14 @@
     {
       const LxInstance *other = &world->instances[i];
       snprintf (incarnations[i], LB_NAME_MAX, "%u", other->incarnation);
-      members[i]
-          = (LcConfigMember){ .name = other->name,
-                              .incarnation = incarnations[i],
-                              .alive = is_alive_for_membership (other, current_time (instance)),
-                              .draining = other->draining };
+      members[i] = (LcConfigMember){
+        .name = other->name,
+        .incarnation = incarnations[i],
+        .alive = does_membership_list_as_alive (other, get_simulation_time (instance)),
+        .draining = other->draining
+      };
     }
-  lc_config_update_members (instance->config, members, n, current_time (instance),
+  lc_config_update_members (instance->config, members, n, get_simulation_time (instance),
                             &instance->config_actions);
   execute_config_actions (instance);
   lx_instance_post_message (instance, MEMBERSHIP_UPDATE_INTERVAL, on_membership_update_due, NULL,
@@ -236,7 +238,7 @@
                                 .seed = instance->world->options.seed * 77 + instance->index };
 
   LB_COPY (settings.instance, instance->name);
-  instance->config = lc_config_new (&settings, current_time (instance));
+  instance->config = lc_config_new (&settings, get_simulation_time (instance));
   instance->next_config_tick_at = LB_TIME_NEVER;
   instance->checked_revision = 0;
   instance->was_ready = false;
@@ -264,7 +266,7 @@
 } ChangeInTransit;
 
 static void
-free_change_in_transit (void *argument)
+free_config_change_in_transit (void *argument)
 {
   ChangeInTransit *change = argument;
 
@@ -274,22 +276,22 @@
 }
 
 static void
-on_change_committed (LxInstance *instance, void *argument)
+on_config_change_committed (LxInstance *instance, void *argument)
 {
   ChangeInTransit *change = argument;
 
   lc_config_change_committed (instance->config, change->next, change->change, change->requested_at,
-                              current_time (instance), &instance->config_actions);
+                              get_simulation_time (instance), &instance->config_actions);
   change->next = NULL;
   execute_config_actions (instance);
 }
 
 static void
-on_change_commit_due (LxInstance *instance, void *argument)
+on_config_change_commit_due (LxInstance *instance, void *argument)
 {
   LxWorld *world = instance->world;
   ChangeInTransit *change = argument;
-  LbTime now = current_time (instance);
+  LbTime now = get_simulation_time (instance);
   bool reply_lost = now < world->store.replies_lost_until
                     && lx_faults_is_current_event_affected (&world->faults, LX_LOST_REPLY_SHARE);
 
@@ -316,8 +318,8 @@
   committed->change = json_object_get (change->change);
   committed->next = next;
   committed->requested_at = now;
-  lx_instance_post_message (instance, STORE_ROUND_TRIP_TIME, on_change_committed, committed,
-                            free_change_in_transit);
+  lx_instance_post_message (instance, STORE_ROUND_TRIP_TIME, on_config_change_committed, committed,
+                            free_config_change_in_transit);
 }
 
 void
@@ -327,9 +329,10 @@
 
   change->change = json_object_get (content);
   change->revision = lc_config_active_revision (instance->config);
-  change->requested_at = current_time (instance);
-  lc_config_announce_change (instance->config, current_time (instance), &instance->config_actions);
+  change->requested_at = get_simulation_time (instance);
+  lc_config_announce_change (instance->config, get_simulation_time (instance),
+                             &instance->config_actions);
   execute_config_actions (instance);
-  lx_instance_post_message (instance, CHANGE_COMMIT_DELAY, on_change_commit_due, change,
-                            free_change_in_transit);
+  lx_instance_post_message (instance, CHANGE_COMMIT_DELAY, on_config_change_commit_due, change,
+                            free_config_change_in_transit);
 }
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -68,7 +68,7 @@
 }
 
 static LbTime
-current_time (const LxInstance *instance)
+get_simulation_time (const LxInstance *instance)
 {
   return lx_world_now (instance->world);
 }
@@ -95,7 +95,7 @@
 }
 
 static void
-on_posted_message (void *owner, void *argument)
+on_posted_message_due (void *owner, void *argument)
 {
   LxInstance *instance = owner;
   PostedMessage *posted = argument;
@@ -103,7 +103,7 @@
 
   if (!is_lost && instance->paused_until > lx_world_now (instance->world))
     {
-      lx_queue_add_event (instance->world->queue, instance->paused_until, on_posted_message,
+      lx_queue_add_event (instance->world->queue, instance->paused_until, on_posted_message_due,
                           instance, posted, free_posted_message);
       return;
     }
@@ -126,7 +126,7 @@
                              .handler = handler,
                              .argument = argument,
                              .free_argument = free_argument };
-  lx_world_schedule (instance->world, delay, on_posted_message, instance, posted,
+  lx_world_schedule (instance->world, delay, on_posted_message_due, instance, posted,
                      free_posted_message);
 }
 
@@ -170,7 +170,7 @@
 }
 
 static void
-stop_process (LxInstance *instance)
+stop_instance_process (LxInstance *instance)
 {
   LxRequest *request, *next;
 
@@ -192,7 +192,7 @@
 lx_instance_clear (LxInstance *instance)
 {
   if (instance->alive)
-    stop_process (instance);
+    stop_instance_process (instance);
   free (instance->cache_cursors);
 }
 
@@ -222,7 +222,7 @@
   instance->incarnation++;
   instance->alive = true;
   instance->draining = false;
-  instance->started_at = current_time (instance);
+  instance->started_at = get_simulation_time (instance);
   instance->paused_until = 0;
   instance->invariant_failures = 0;
   instance->is_configured = false;
@@ -287,7 +287,7 @@
   for (size_t i = 0; i < instance->world->options.n_trainers; i++)
     if (instance->world->trainers[i].owner == instance->index)
       lx_trainer_abort_pull (&instance->world->trainers[i]);
-  stop_process (instance);
+  stop_instance_process (instance);
 }
 
 static LxRequest *
@@ -308,7 +308,7 @@
   return NULL;
 }
 
-static void on_delivery_arrived (LxInstance *instance, void *argument);
+static void on_piece_or_end_arrived (LxInstance *instance, void *argument);
 
 /* While injected faults are active, makes pieces arrive twice, late or without a version. The last
  * piece and the end are never late, because an answer without an end marker is not reported as
@@ -327,18 +327,18 @@
     return;
   double draw = gsl_rng_uniform (world->random);
   if (draw < 0.03)
-    lx_instance_post_message (instance, *delay + (LbTime)(draw * LB_SEC), on_delivery_arrived,
+    lx_instance_post_message (instance, *delay + (LbTime)(draw * LB_SEC), on_piece_or_end_arrived,
                               lb_memdup (delivery, sizeof *delivery), free);
   else if (draw < 0.06 && !delivery->piece.last)
     *delay += (LbTime)(draw * 5 * LB_SEC);
 }
 
 static void
-post_piece_or_end (LxInstance *instance,
-                   const LxEngine *engine,
-                   const LxStreamSpec *stream,
-                   const LxDelivery *delivery,
-                   LbTime delay)
+schedule_delivery_from_engine (LxInstance *instance,
+                               const LxEngine *engine,
+                               const LxStreamSpec *stream,
+                               const LxDelivery *delivery,
+                               LbTime delay)
 {
   LxDelivery *copy;
   LbTime latency
@@ -350,7 +350,7 @@
   copy->request = stream->request;
   copy->attempt = stream->attempt;
   duplicate_delay_or_unlabel_piece (instance, copy, &delay);
-  lx_instance_post_message (instance, latency + delay, on_delivery_arrived, copy, free);
+  lx_instance_post_message (instance, latency + delay, on_piece_or_end_arrived, copy, free);
 }
 
 void
@@ -359,7 +359,7 @@
                                     const LxStreamSpec *stream,
                                     const LcPiece *piece)
 {
-  post_piece_or_end (instance, engine, stream, &(LxDelivery){ .piece = *piece }, 0);
+  schedule_delivery_from_engine (instance, engine, stream, &(LxDelivery){ .piece = *piece }, 0);
 }
 
 void
@@ -369,11 +369,12 @@
                                          LcAttemptEnd end,
                                          LbTime delay)
 {
-  post_piece_or_end (instance, engine, stream, &(LxDelivery){ .is_end = true, .end = end }, delay);
+  schedule_delivery_from_engine (instance, engine, stream,
+                                 &(LxDelivery){ .is_end = true, .end = end }, delay);
 }
 
 static void
-record_job_start (LxWorld *world, const LxStreamSpec *stream)
+record_and_check_job_start (LxWorld *world, const LxStreamSpec *stream)
 {
   LxJob *job = lx_audit_get_job (&world->audit, stream->job);
 
@@ -391,7 +392,7 @@
 }
 
 static void
-on_attempt_arrived (void *owner, void *argument)
+on_attempt_arrived_at_endpoint (void *owner, void *argument)
 {
   AttemptInTransit *transit = argument;
   LxInstance *instance = transit->instance;
@@ -414,7 +415,7 @@
                                                0);
       goto out;
     }
-  record_job_start (instance->world, &transit->stream);
+  record_and_check_job_start (instance->world, &transit->stream);
 out:
   free (transit);
 }
@@ -441,7 +442,7 @@
   LxAttempt attempt = { .number = action->attempt, .engine = engine, .is_open = true };
 
   attempt.stream
-      = lx_audit_add_stream (&instance->world->audit, request->job, current_time (instance));
+      = lx_audit_add_stream (&instance->world->audit, request->job, get_simulation_time (instance));
   copy_text_to_resumed_attempt (request, &attempt, action->resume_at - request->spec.resume_at);
   request->attempts
       = lb_realloc (request->attempts, (request->n_attempts + 1) * sizeof (LxAttempt));
@@ -474,7 +475,7 @@
 }
 
 static void
-send_attempt (LxInstance *instance, const LcAction *action)
+send_attempt_to_endpoint (LxInstance *instance, const LcAction *action)
 {
   LxWorld *world = instance->world;
   LxRequest *request = find_request (instance, action->request);
@@ -489,11 +490,11 @@
   if (!request || !engine)
     return;
   if (engine->leaving && engine->alive)
-    engine->sent_while_leaving_at = current_time (instance);
+    engine->sent_while_leaving_at = get_simulation_time (instance);
   if (engine->leaving && engine->alive
-      && engine->leaving_since + MAX_LEAVE_DETECTION_TIME < current_time (instance))
-    lx_audit_report_violation (&world->audit, LX_VIOLATION_SENT_TO_LEAVING, current_time (instance),
-                               lx_world_get_event_number (world),
+      && engine->leaving_since + MAX_LEAVE_DETECTION_TIME < get_simulation_time (instance))
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_SENT_TO_LEAVING,
+                               get_simulation_time (instance), lx_world_get_event_number (world),
                                "%s was leaving, but received new work from %s", engine->name,
                                instance->name);
 
@@ -505,7 +506,7 @@
   lx_world_schedule (world,
                      lx_world_get_network_latency (world, instance->data_centre,
                                                    engine->data_centre),
-                     on_attempt_arrived, NULL, transit, free);
+                     on_attempt_arrived_at_endpoint, NULL, transit, free);
 }
 
 /* If the error is a "not run" error, records it in the job: from now on no endpoint may start the
@@ -521,7 +522,7 @@
   job->reported_not_run = true;
   if (job->n_starts > 0)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_RAN_AFTER_NOT_RUN,
-                               current_time (instance), lx_world_get_event_number (world),
+                               get_simulation_time (instance), lx_world_get_event_number (world),
                                "job %" PRIu64 " had been started when %s returned %s", job_number,
                                instance->name, lb_error_name (error));
 }
@@ -543,14 +544,14 @@
     }
   else
     {
-      /* On a failure, LcRollouts needs the forwarded text. The last attempt may have no such text,
-       * because it ended before it forwarded a piece. */
+      /* On a failure, LcRollouts needs the forwarded text. The last attempt may have ended before
+       * it forwarded a piece. */
       LxAttempt *last_forwarded = find_attempt (request, request->last_forwarded_attempt);
       if (action->error != LB_OK && last_forwarded)
         lx_text_copy (&request->text, &last_forwarded->text);
       lc_rollouts_finish_generation (instance->rollouts, request->id, action->error,
-                                     lx_text_render (&request->text), current_time (instance),
-                                     &instance->rollout_actions);
+                                     lx_text_render (&request->text),
+                                     get_simulation_time (instance), &instance->rollout_actions);
     }
   free_request (instance, request);
 }
@@ -564,7 +565,7 @@
   switch (action->type)
     {
     case LC_ACTION_SEND:
-      send_attempt (instance, action);
+      send_attempt_to_endpoint (instance, action);
       break;
     case LC_ACTION_CANCEL:
       if (attempt && attempt->is_open)
@@ -577,12 +578,12 @@
 }
 
 static bool
-submit_request (LxInstance *instance,
-                const LcRequestSpec *spec,
-                uint64_t job,
-                LxCall *call,
-                LbTime *retry_after,
-                LbError *error)
+submit_request_to_dispatch (LxInstance *instance,
+                            const LcRequestSpec *spec,
+                            uint64_t job,
+                            LxCall *call,
+                            LbTime *retry_after,
+                            LbError *error)
 {
   LxRequest *request = LB_NEW (LxRequest);
 
@@ -591,7 +592,7 @@
   request->job = job;
   request->call = call;
   HASH_ADD (hh, instance->requests, id, sizeof request->id, request);
-  if (lc_dispatch_submit (instance->dispatch, spec, current_time (instance),
+  if (lc_dispatch_submit (instance->dispatch, spec, get_simulation_time (instance),
                           &instance->dispatch_actions, retry_after, error))
     return true;
   record_not_run_error (instance, job, error->code);
@@ -644,19 +645,20 @@
   LcRequestId id = action->spec.id;
 
   fill_prompt_blocks (&action->spec, action->prompt);
-  if (submit_request (instance, &action->spec, add_sample_job (instance, action), NULL,
-                      &retry_after, &error))
+  if (submit_request_to_dispatch (instance, &action->spec, add_sample_job (instance, action), NULL,
+                                  &retry_after, &error))
     return;
-  lc_rollouts_finish_generation (instance->rollouts, id, error.code, NULL, current_time (instance),
-                                 &instance->rollout_actions);
+  lc_rollouts_finish_generation (instance->rollouts, id, error.code, NULL,
+                                 get_simulation_time (instance), &instance->rollout_actions);
 }
 
 static void
-cancel_request (LxInstance *instance, LcRequestId id)
+cancel_dispatch_request (LxInstance *instance, LcRequestId id)
 {
   LxRequest *request = find_request (instance, id);
 
-  lc_dispatch_cancel (instance->dispatch, id, current_time (instance), &instance->dispatch_actions);
+  lc_dispatch_cancel (instance->dispatch, id, get_simulation_time (instance),
+                      &instance->dispatch_actions);
   if (!request)
     return;
   close_open_attempts (instance, request);
@@ -665,7 +667,7 @@
 
 /* Ends a request and passes the text received for the request to LcRollouts. */
 static void
-preempt_request (LxInstance *instance, LcRequestId id)
+preempt_sample_request (LxInstance *instance, LcRequestId id)
 {
   LxRequest *request = find_request (instance, id);
 
@@ -674,9 +676,9 @@
   if (request->n_attempts > 0)
     lx_text_copy (&request->text, &request->attempts[request->n_attempts - 1].text);
   lc_rollouts_finish_generation (instance->rollouts, id, LB_ERROR_CLOSED,
-                                 lx_text_render (&request->text), current_time (instance),
+                                 lx_text_render (&request->text), get_simulation_time (instance),
                                  &instance->rollout_actions);
-  cancel_request (instance, id);
+  cancel_dispatch_request (instance, id);
 }
 
 /* The result of a ledger write, in transit to the instance. */
@@ -692,7 +694,7 @@
   const LedgerReply *reply = argument;
 
   lc_rollouts_finish_ledger_write (instance->rollouts, reply->write, reply->error,
-                                   current_time (instance), &instance->rollout_actions);
+                                   get_simulation_time (instance), &instance->rollout_actions);
   execute_pending_actions (instance);
 }
 
@@ -712,7 +714,7 @@
 }
 
 static void
-write_ledger (LxInstance *instance, const LcRolloutAction *action)
+write_step_ledger_row (LxInstance *instance, const LcRolloutAction *action)
 {
   LedgerReply *reply = LB_NEW (LedgerReply);
   LxWriteOutcome outcome = draw_write_outcome (instance->world);
@@ -752,7 +754,7 @@
   int64_t step = opening->spec.step;
   bool opened
       = lc_rollouts_recover_step_from_ledger (instance->rollouts, &opening->spec, opening->session,
-                                              opening->ledger_row, current_time (instance),
+                                              opening->ledger_row, get_simulation_time (instance),
                                               &instance->rollout_actions, &error);
 
   lx_world_record_decision (instance->world,
@@ -805,7 +807,7 @@
 }
 
 static void
-on_chunk_arrived (void *owner, void *argument)
+on_chunk_arrived_at_trainer (void *owner, void *argument)
 {
   LxWorld *world = owner;
   LxChunk *chunk = argument;
@@ -822,17 +824,18 @@
       start_sample_generation (instance, action);
       break;
     case LC_ROLLOUT_CANCEL:
-      cancel_request (instance, action->spec.id);
+      cancel_dispatch_request (instance, action->spec.id);
       break;
     case LC_ROLLOUT_PREEMPT:
-      preempt_request (instance, action->spec.id);
+      preempt_sample_request (instance, action->spec.id);
       break;
     case LC_ROLLOUT_WRITE_LEDGER:
-      write_ledger (instance, action);
+      write_step_ledger_row (instance, action);
       break;
     case LC_ROLLOUT_REPLY:
       lx_world_schedule (instance->world, instance->world->options.site->client_latency,
-                         on_chunk_arrived, instance->world, lx_chunk_new (action), lx_chunk_free);
+                         on_chunk_arrived_at_trainer, instance->world, lx_chunk_new (action),
+                         lx_chunk_free);
       break;
     case LC_ROLLOUT_SCORE:
       break;
@@ -842,7 +845,7 @@
 static void
 on_core_tick_due (LxInstance *instance, void *argument)
 {
-  LbTime now = current_time (instance);
+  LbTime now = get_simulation_time (instance);
 
   (void)argument;
   if (now < instance->next_tick_at)
@@ -865,7 +868,8 @@
   if (due >= instance->next_tick_at)
     return;
   instance->next_tick_at = due;
-  lx_instance_post_message (instance, due - current_time (instance), on_core_tick_due, NULL, NULL);
+  lx_instance_post_message (instance, due - get_simulation_time (instance), on_core_tick_due, NULL,
+                            NULL);
 }
 
 static bool
@@ -902,7 +906,7 @@
 
 /* Ends a draining process once no request is in progress or DRAIN_TIMEOUT has passed. */
 static void
-on_drain_check (LxInstance *instance, void *argument)
+end_drain_if_idle_or_timed_out (LxInstance *instance, void *argument)
 {
   LxWorld *world = instance->world;
   bool is_idle = lc_dispatch_count_requests_in_progress (instance->dispatch) == 0
@@ -910,24 +914,25 @@
                  && lc_rollouts_count_requests_and_waiting_pulls (instance->rollouts) == 0;
 
   (void)argument;
-  if (!is_idle && current_time (instance) - instance->drain_started_at < DRAIN_TIMEOUT)
+  if (!is_idle && get_simulation_time (instance) - instance->drain_started_at < DRAIN_TIMEOUT)
     {
-      lx_instance_post_message (instance, DRAIN_CHECK_INTERVAL, on_drain_check, NULL, NULL);
+      lx_instance_post_message (instance, DRAIN_CHECK_INTERVAL, end_drain_if_idle_or_timed_out,
+                                NULL, NULL);
       return;
     }
   if (!is_idle)
-    lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, current_time (instance),
+    lx_audit_report_violation (&world->audit, LX_VIOLATION_STUCK, get_simulation_time (instance),
                                lx_world_get_event_number (world),
                                "%s: the drain should have ended within its timeout, but did not",
                                instance->name);
   for (LxRequest *request = instance->requests; request; request = request->hh.next)
     if (request->call)
-      lx_audit_report_violation (&world->audit, LX_VIOLATION_CUT_BY_DRAIN, current_time (instance),
-                                 lx_world_get_event_number (world),
+      lx_audit_report_violation (&world->audit, LX_VIOLATION_CUT_BY_DRAIN,
+                                 get_simulation_time (instance), lx_world_get_event_number (world),
                                  "%s: expected no request at the end of the drain, found %" PRIu64,
                                  instance->name, request->id);
   lx_instance_kill (instance);
-  instance->drain_ended_at = current_time (instance);
+  instance->drain_ended_at = get_simulation_time (instance);
   lx_world_schedule (world, 2 * LB_SEC, on_instance_restart_due, instance, NULL, NULL);
 }
 
@@ -935,17 +940,20 @@
 lx_instance_drain (LxInstance *instance)
 {
   instance->draining = true;
-  lc_dispatch_drain (instance->dispatch, current_time (instance), &instance->dispatch_actions);
-  lc_rollouts_drain (instance->rollouts, current_time (instance), &instance->rollout_actions);
+  lc_dispatch_drain (instance->dispatch, get_simulation_time (instance),
+                     &instance->dispatch_actions);
+  lc_rollouts_drain (instance->rollouts, get_simulation_time (instance),
+                     &instance->rollout_actions);
   execute_pending_actions (instance);
-  instance->drain_started_at = current_time (instance);
-  lx_instance_post_message (instance, DRAIN_CHECK_INTERVAL, on_drain_check, NULL, NULL);
+  instance->drain_started_at = get_simulation_time (instance);
+  lx_instance_post_message (instance, DRAIN_CHECK_INTERVAL, end_drain_if_idle_or_timed_out, NULL,
+                            NULL);
 }
 
 void
 lx_instance_abort_step (LxInstance *instance, const char *subscription, int64_t step)
 {
-  lc_rollouts_abort_step (instance->rollouts, subscription, step, current_time (instance),
+  lc_rollouts_abort_step (instance->rollouts, subscription, step, get_simulation_time (instance),
                           &instance->rollout_actions);
   execute_pending_actions (instance);
 }
@@ -953,9 +961,9 @@
 void
 lx_instance_apply_configuration (LxInstance *instance, const LcResourceSet *set)
 {
-  lc_dispatch_configure (instance->dispatch, set, current_time (instance),
+  lc_dispatch_configure (instance->dispatch, set, get_simulation_time (instance),
                          &instance->dispatch_actions);
-  lc_rollouts_configure (instance->rollouts, set, current_time (instance),
+  lc_rollouts_configure (instance->rollouts, set, get_simulation_time (instance),
                          &instance->rollout_actions);
   execute_pending_actions (instance);
   /* Polls the endpoints of the first configuration without delay, as the daemon does. */
@@ -973,7 +981,7 @@
   if (!lc_config_is_ready_for_new_work (instance->config))
     return lb_error_set (error, LB_ERROR_NOT_READY, instance->name, "no confirmed configuration");
   spec->id = next_request_id (instance);
-  bool is_accepted = submit_request (instance, spec, job, call, &retry_after, error);
+  bool is_accepted = submit_request_to_dispatch (instance, spec, job, call, &retry_after, error);
   execute_pending_actions (instance);
   return is_accepted;
 }
@@ -986,7 +994,7 @@
 {
   LcPieceVerdict verdict
       = lc_dispatch_receive_piece (instance->dispatch, request->id, attempt->number, piece,
-                                   current_time (instance), &instance->dispatch_actions);
+                                   get_simulation_time (instance), &instance->dispatch_actions);
 
   if (verdict != LC_PIECE_FORWARD)
     return;
@@ -1001,11 +1009,11 @@
   if (piece->last)
     lx_text_copy (&request->text, &attempt->text);
   lc_rollouts_add_generated_piece (instance->rollouts, request->id, piece, attempt->engine->name,
-                                   current_time (instance), &instance->rollout_actions);
+                                   get_simulation_time (instance), &instance->rollout_actions);
 }
 
 static void
-on_delivery_arrived (LxInstance *instance, void *argument)
+on_piece_or_end_arrived (LxInstance *instance, void *argument)
 {
   const LxDelivery *delivery = argument;
   LxRequest *request = find_request (instance, delivery->request);
@@ -1016,13 +1024,14 @@
   /* Nothing arrives on a closed connection, except late pieces while LX_FAULT_PIECES_GARBLED is
    * active. Core must discard late pieces. */
   if (!attempt->is_open
-      && (delivery->is_end || current_time (instance) >= instance->world->faults.garbled_until))
+      && (delivery->is_end
+          || get_simulation_time (instance) >= instance->world->faults.garbled_until))
     return;
   if (delivery->is_end)
     {
       attempt->is_open = false;
       lc_dispatch_record_attempt_end (instance->dispatch, request->id, delivery->attempt,
-                                      delivery->end, current_time (instance),
+                                      delivery->end, get_simulation_time (instance),
                                       &instance->dispatch_actions);
     }
   else
@@ -1046,7 +1055,7 @@
       if (event->sequence == *cursor)
         lc_endpoints_apply_cache_event (lc_dispatch_get_endpoints (instance->dispatch),
                                         engine->name, event->sequence, event->stored, event->hash,
-                                        current_time (instance));
+                                        get_simulation_time (instance));
     }
 }
 
@@ -1055,7 +1064,8 @@
 {
   pass_new_cache_events_to_dispatch (instance, engine);
   lc_dispatch_record_load_report (instance->dispatch, instance->world->engines[engine]->name,
-                                  report, current_time (instance), &instance->dispatch_actions);
+                                  report, get_simulation_time (instance),
+                                  &instance->dispatch_actions);
   execute_pending_actions (instance);
 }
 
@@ -1109,7 +1119,7 @@
 {
   lc_endpoints_set_weight_swap_state (lc_dispatch_get_endpoints (instance->dispatch),
                                       instance->world->engines[engine]->name, pending, until,
-                                      current_time (instance));
+                                      get_simulation_time (instance));
 }
 
 void
@@ -1118,7 +1128,7 @@
                                        LbTime version_interval)
 {
   lc_rollouts_set_newest_pool_version (instance->rollouts, instance->world->options.site->pool,
-                                       newest, version_interval, current_time (instance),
+                                       newest, version_interval, get_simulation_time (instance),
                                        &instance->rollout_actions);
   execute_pending_actions (instance);
 }
@@ -1126,7 +1136,7 @@
 void
 lx_instance_receive_pull (LxInstance *instance, const LcPull *pull)
 {
-  lc_rollouts_accept_pull (instance->rollouts, pull, current_time (instance),
+  lc_rollouts_accept_pull (instance->rollouts, pull, get_simulation_time (instance),
                            &instance->rollout_actions);
   execute_pending_actions (instance);
 }
--- a/packages/sim/src/lx-options.c
+++ b/packages/sim/src/lx-options.c
@@ -45,18 +45,18 @@
 }
 
 static bool *
-get_mechanism_flag (LcRolloutSettings *settings, size_t i)
+get_rollout_mechanism_flag (LcRolloutSettings *settings, size_t i)
 {
   return (bool *)((char *)settings + mechanism_offsets[i]);
 }
 
 static bool
-enable_mechanism (LcRolloutSettings *settings, const char *name)
+enable_rollout_mechanism (LcRolloutSettings *settings, const char *name)
 {
   for (size_t i = 0; mechanism_names[i]; i++)
     if (strcmp (mechanism_names[i], name) == 0)
       {
-        *get_mechanism_flag (settings, i) = true;
+        *get_rollout_mechanism_flag (settings, i) = true;
         return true;
       }
   return false;
@@ -85,9 +85,9 @@
   if (strcmp (policy, "lentilspindle") == 0)
     return true;
   for (size_t i = 0; mechanism_names[i]; i++)
-    *get_mechanism_flag (&options->rollouts, i) = false;
+    *get_rollout_mechanism_flag (&options->rollouts, i) = false;
   for (char *part = strtok_r (NULL, "+", &rest); part; part = strtok_r (NULL, "+", &rest))
-    if (!enable_mechanism (&options->rollouts, part))
+    if (!enable_rollout_mechanism (&options->rollouts, part))
       return false;
   return true;
 }
--- a/packages/sim/src/lx-queue.c
+++ b/packages/sim/src/lx-queue.c
@@ -53,7 +53,7 @@
 }
 
 static void
-swap_events (Event *a, Event *b)
+swap_heap_events (Event *a, Event *b)
 {
   Event event = *a;
 
@@ -62,17 +62,17 @@
 }
 
 static void
-sift_up (LxQueue *queue, size_t i)
+sift_up_event (LxQueue *queue, size_t i)
 {
   while (i > 0 && is_event_before (&queue->heap[i], &queue->heap[(i - 1) / 2]))
     {
-      swap_events (&queue->heap[i], &queue->heap[(i - 1) / 2]);
+      swap_heap_events (&queue->heap[i], &queue->heap[(i - 1) / 2]);
       i = (i - 1) / 2;
     }
 }
 
 static void
-sift_down (LxQueue *queue, size_t i)
+sift_down_event (LxQueue *queue, size_t i)
 {
   for (;;)
     {
@@ -83,7 +83,7 @@
           earliest = child;
       if (earliest == i)
         return;
-      swap_events (&queue->heap[i], &queue->heap[earliest]);
+      swap_heap_events (&queue->heap[i], &queue->heap[earliest]);
       i = earliest;
     }
 }
@@ -107,7 +107,7 @@
                                         .owner = owner,
                                         .argument = argument,
                                         .free_argument = free_argument };
-  sift_up (queue, queue->length++);
+  sift_up_event (queue, queue->length++);
 }
 
 bool
@@ -118,7 +118,7 @@
 
   Event event = queue->heap[0];
   queue->heap[0] = queue->heap[--queue->length];
-  sift_down (queue, 0);
+  sift_down_event (queue, 0);
   queue->now = event.at;
   queue->handled++;
   event.handler (event.owner, event.argument);
--- a/packages/sim/src/lx-registry.c
+++ b/packages/sim/src/lx-registry.c
@@ -69,7 +69,7 @@
  * commit time alone does not count: if the commit reply was lost, no instance knows the revision
  * until it reads the head row. */
 static int64_t
-get_newest_revision_in_use_for_long (const LxRegistry *registry, LbTime now)
+get_newest_revision_active_beyond_time_limit (const LxRegistry *registry, LbTime now)
 {
   int64_t revision = lx_registry_get_required_revision (registry, now);
 
@@ -81,7 +81,7 @@
 }
 
 static bool
-is_past_catch_up_time (const LxInstance *instance, LbTime now)
+is_instance_past_catch_up_time (const LxInstance *instance, LbTime now)
 {
   return instance->alive && instance->started_at + CATCH_UP_TIME < now
          && instance->paused_until + CATCH_UP_TIME < now
@@ -89,7 +89,7 @@
 }
 
 static void
-check_active_revision (LxRegistry *registry, LxInstance *instance, LbTime now)
+check_active_revision_of_instance (LxRegistry *registry, LxInstance *instance, LbTime now)
 {
   LxWorld *world = registry->world;
   int64_t revision = lc_config_active_revision (instance->config);
@@ -103,7 +103,7 @@
   instance->checked_revision = revision;
   if (registry->first_active_at[revision] == 0)
     registry->first_active_at[revision] = now;
-  if (is_past_catch_up_time (instance, now) && revision < due)
+  if (is_instance_past_catch_up_time (instance, now) && revision < due)
     lx_audit_report_violation (&world->audit, LX_VIOLATION_NOT_IN_FORCE, now,
                                lx_world_get_event_number (world),
                                "%s has revision %" PRId64 " active, %" PRId64
@@ -113,17 +113,17 @@
   /* An instance that becomes ready must not use an older revision than one that has long been
    * active on another instance. */
   if (!instance->was_ready && lc_config_is_ready_for_new_work (instance->config)
-      && revision < get_newest_revision_in_use_for_long (registry, now))
+      && revision < get_newest_revision_active_beyond_time_limit (registry, now))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_REVERTED, now,
                                lx_world_get_event_number (world),
                                "%s is ready with revision %" PRId64 " after %" PRId64 " was active",
                                instance->name, revision,
-                               get_newest_revision_in_use_for_long (registry, now));
+                               get_newest_revision_active_beyond_time_limit (registry, now));
   instance->was_ready = lc_config_is_ready_for_new_work (instance->config);
 }
 
 static void
-on_revision_check (void *owner, void *argument)
+on_revision_check_due (void *owner, void *argument)
 {
   LxRegistry *registry = owner;
   LxWorld *world = registry->world;
@@ -132,8 +132,8 @@
   (void)argument;
   for (size_t i = 0; i < world->n_instances; i++)
     if (world->instances[i].alive && world->instances[i].paused_until <= now)
-      check_active_revision (registry, &world->instances[i], now);
-  lx_world_schedule (world, REVISION_CHECK_INTERVAL, on_revision_check, registry, NULL, NULL);
+      check_active_revision_of_instance (registry, &world->instances[i], now);
+  lx_world_schedule (world, REVISION_CHECK_INTERVAL, on_revision_check_due, registry, NULL, NULL);
 }
 
 /* Returns a change {"apply": [pool]} that sets the live reserve of the first pool. */
@@ -166,7 +166,7 @@
 }
 
 static void
-on_operator_change_due (void *owner, void *argument)
+on_live_reserve_change_due (void *owner, void *argument)
 {
   LxRegistry *registry = owner;
   LxWorld *world = registry->world;
@@ -189,7 +189,7 @@
                      draw % 5 < 2 ? BURST_CHANGE_INTERVAL
                                   : (LbTime)((0.5 + (double)draw / 1000)
                                              * (double)world->options.mean_change_interval),
-                     on_operator_change_due, registry, NULL, NULL);
+                     on_live_reserve_change_due, registry, NULL, NULL);
 }
 
 void
@@ -197,8 +197,8 @@
 {
   LxWorld *world = registry->world;
 
-  lx_world_schedule (world, REVISION_CHECK_INTERVAL, on_revision_check, registry, NULL, NULL);
+  lx_world_schedule (world, REVISION_CHECK_INTERVAL, on_revision_check_due, registry, NULL, NULL);
   if (world->options.mean_change_interval > 0)
-    lx_world_schedule (world, world->options.mean_change_interval, on_operator_change_due, registry,
-                       NULL, NULL);
+    lx_world_schedule (world, world->options.mean_change_interval, on_live_reserve_change_due,
+                       registry, NULL, NULL);
 }
--- a/packages/sim/src/lx-replay.c
+++ b/packages/sim/src/lx-replay.c
@@ -68,7 +68,7 @@
 }
 
 static void
-report_line_failure (Replay *replay, const LxTraceLine *line, const char *problem)
+report_trace_line_failure (Replay *replay, const LxTraceLine *line, const char *problem)
 {
   replay->n_failures++;
   fprintf (replay->out, "%s:%d: %s: %s (at %.3f s, event %" PRIu64 ")\n", replay->name, line->line,
@@ -80,7 +80,7 @@
 /* --- execution of the events of a trace --- */
 
 static void
-submit_named_call (Replay *replay, size_t index)
+submit_call_of_trace_line (Replay *replay, size_t index)
 {
   const LxTraceLine *line = &replay->trace->lines[index];
   NamedCall *call = &replay->calls[index];
@@ -101,7 +101,7 @@
   LxTrainer *trainer = find_trainer_by_name (replay, line->trainer);
 
   if (!trainer)
-    report_line_failure (replay, line, "unknown trainer");
+    report_trace_line_failure (replay, line, "unknown trainer");
   else
     lx_trainer_start (trainer, line->count);
 }
@@ -117,13 +117,13 @@
 }
 
 static void
-inject_trace_fault (Replay *replay, const LxTraceLine *line)
+inject_fault_of_trace_line (Replay *replay, const LxTraceLine *line)
 {
   const LxTrainer *trainer = find_trainer_by_name (replay, line->trainer);
 
   if (!lx_faults_inject (&replay->world->faults, find_fault_by_name (line->fault), line->endpoint,
                          line->instance, trainer ? trainer->index : 0, line->for_ms * LB_MSEC))
-    report_line_failure (replay, line, "unknown endpoint or instance");
+    report_trace_line_failure (replay, line, "unknown endpoint or instance");
 }
 
 static void
@@ -135,7 +135,7 @@
   if (instance && instance->alive)
     lx_registry_submit_live_reserve_change (&world->registry, instance, line->live_reserve);
   else
-    report_line_failure (replay, line, "the instance is unknown or not running");
+    report_trace_line_failure (replay, line, "the instance is unknown or not running");
 }
 
 static bool
@@ -164,7 +164,7 @@
       break;
     case LX_EVENT_CALL:
     case LX_EVENT_SERVICE:
-      submit_named_call (replay, scheduled->index);
+      submit_call_of_trace_line (replay, scheduled->index);
       break;
     case LX_EVENT_VERSION:
       lx_weight_swaps_publish_version (&replay->world->swaps);
@@ -173,7 +173,7 @@
       submit_live_reserve_change (replay, line);
       break;
     case LX_EVENT_FAULT:
-      inject_trace_fault (replay, line);
+      inject_fault_of_trace_line (replay, line);
       break;
     default:
       replay->was_active[scheduled->index]
@@ -186,7 +186,7 @@
 /* --- checks of the expectations of a trace at the end of the run --- */
 
 static bool
-is_within_time_limit (const Replay *replay, const LxTraceLine *line, LbTime at)
+is_within_time_limit_of_line (const Replay *replay, const LxTraceLine *line, LbTime at)
 {
   return at > 0 && at - replay->started_at <= line->by_ms * LB_MSEC;
 }
@@ -204,7 +204,7 @@
     return job->n_starts <= line->count ? NULL : "endpoints started the call more often than count";
   if (call->result.ended_at == 0)
     return "the call has no answer";
-  if (!is_within_time_limit (replay, line, call->result.ended_at))
+  if (!is_within_time_limit_of_line (replay, line, call->result.ended_at))
     return "the answer arrived later than by_ms";
   if (line->expect == LX_EXPECT_WHOLE)
     return call->result.error == LB_OK ? NULL : lb_error_name (call->result.error);
@@ -233,7 +233,8 @@
                                                  : "fewer than count samples have several versions";
   if (lx_trainer_get_step_finish_time (trainer, line->step) == 0)
     return "samples of the step are missing";
-  return is_within_time_limit (replay, line, lx_trainer_get_step_finish_time (trainer, line->step))
+  return is_within_time_limit_of_line (replay, line,
+                                       lx_trainer_get_step_finish_time (trainer, line->step))
              ? NULL
              : "the last sample arrived later than by_ms";
 }
@@ -257,13 +258,13 @@
 
   if (!instance)
     return "unknown instance";
-  return is_within_time_limit (replay, line, instance->drain_ended_at)
+  return is_within_time_limit_of_line (replay, line, instance->drain_ended_at)
              ? NULL
              : "the instance did not complete its drain by by_ms";
 }
 
 static const char *
-check_expectation (const Replay *replay, size_t index)
+check_expectation_of_trace_line (const Replay *replay, size_t index)
 {
   const LxTraceLine *line = &replay->trace->lines[index];
 
@@ -348,9 +349,9 @@
 
   for (size_t i = 0; i < trace->n_lines; i++)
     {
-      const char *problem = check_expectation (&replay, i);
+      const char *problem = check_expectation_of_trace_line (&replay, i);
       if (problem)
-        report_line_failure (&replay, &trace->lines[i], problem);
+        report_trace_line_failure (&replay, &trace->lines[i], problem);
     }
   if (replay.world->audit.first_violation[0])
     {
--- a/packages/sim/src/lx-soak.c
+++ b/packages/sim/src/lx-soak.c
@@ -53,7 +53,7 @@
 }
 
 static void
-get_run_outcome (const LxWorld *world, RunOutcome *outcome)
+get_simulation_outcome (const LxWorld *world, RunOutcome *outcome)
 {
   const LxAudit *audit = &world->audit;
 
@@ -108,7 +108,7 @@
 }
 
 static void
-run_with_skipped_injections (
+run_soak_without_skipped_injections (
     const LxSoak *soak, const uint8_t *skipped, size_t n, RunOutcome *outcome, FILE *out)
 {
   LxOptions options;
@@ -118,7 +118,7 @@
   options.n_skipped_injections = n;
   LxWorld *world = lx_world_new (&options);
   lx_world_run (world);
-  get_run_outcome (world, outcome);
+  get_simulation_outcome (world, outcome);
   if (out)
     {
       print_run_totals (soak, world, out);
@@ -151,7 +151,7 @@
       {
         memcpy (candidate, skipped, n);
         memset (candidate + first, 1, first + range_length <= n ? range_length : n - first);
-        run_with_skipped_injections (&shorter, candidate, n, &outcome, NULL);
+        run_soak_without_skipped_injections (&shorter, candidate, n, &outcome, NULL);
         if (!outcome.failed || outcome.violation != failure->violation)
           continue;
         memcpy (skipped, candidate, n);
@@ -162,7 +162,7 @@
     n_kept += !skipped[i];
   fprintf (out, "shrunk to %zu of %zu fault injections, %" PRIu64 " events:\n", n_kept, n,
            shorter.events);
-  run_with_skipped_injections (&shorter, skipped, n, &outcome, out);
+  run_soak_without_skipped_injections (&shorter, skipped, n, &outcome, out);
   free (skipped);
   free (candidate);
 }
@@ -172,7 +172,7 @@
 {
   RunOutcome outcome;
 
-  run_with_skipped_injections (soak, NULL, 0, &outcome, out);
+  run_soak_without_skipped_injections (soak, NULL, 0, &outcome, out);
   if (outcome.failed && shrink)
     shrink_failing_run (soak, &outcome, out);
   return !outcome.failed;
--- a/packages/sim/src/lx-store.c
+++ b/packages/sim/src/lx-store.c
@@ -25,7 +25,7 @@
 }
 
 static LxStoreRow *
-find_row (const LxStore *store, const char *key)
+find_store_row (const LxStore *store, const char *key)
 {
   LxStoreRow *row;
 
@@ -34,9 +34,9 @@
 }
 
 static LxStoreRow *
-find_or_add_row (LxStore *store, const char *key)
+find_or_add_store_row (LxStore *store, const char *key)
 {
-  LxStoreRow *row = find_row (store, key);
+  LxStoreRow *row = find_store_row (store, key);
 
   if (row)
     return row;
@@ -51,7 +51,7 @@
 lx_store_write_row (
     LxStore *store, const char *key, const char *value, uint64_t session, LxWriteOutcome outcome)
 {
-  LxStoreRow *row = find_or_add_row (store, key);
+  LxStoreRow *row = find_or_add_store_row (store, key);
 
   if (outcome == LX_WRITE_UNAVAILABLE)
     return LB_ERROR_STORE_AWAY;
@@ -70,13 +70,13 @@
 uint64_t
 lx_store_begin_row_session (LxStore *store, const char *key)
 {
-  return ++find_or_add_row (store, key)->session;
+  return ++find_or_add_store_row (store, key)->session;
 }
 
 const char *
 lx_store_get_row_value (const LxStore *store, const char *key)
 {
-  const LxStoreRow *row = find_row (store, key);
+  const LxStoreRow *row = find_store_row (store, key);
 
   return row ? row->value : "";
 }
--- a/packages/sim/src/lx-swaps.c
+++ b/packages/sim/src/lx-swaps.c
@@ -29,7 +29,7 @@
 }
 
 static void
-on_weight_swap_notice (LxInstance *instance, void *argument)
+on_weight_swap_notice_arrived (LxInstance *instance, void *argument)
 {
   const SwapNotice *notice = argument;
 
@@ -37,14 +37,14 @@
 }
 
 static void
-notify_instances_of_swap (LxWorld *world, size_t engine, bool pending, LbTime until)
+notify_instances_of_weight_swap (LxWorld *world, size_t engine, bool pending, LbTime until)
 {
   for (size_t i = 0; i < world->n_instances; i++)
     {
       SwapNotice *notice = LB_NEW (SwapNotice);
       *notice = (SwapNotice){ .engine = engine, .pending = pending, .until = until };
       lx_instance_post_message (&world->instances[i], world->options.site->latency_between,
-                                on_weight_swap_notice, notice, free);
+                                on_weight_swap_notice_arrived, notice, free);
     }
 }
 
@@ -61,7 +61,7 @@
 /* Starts loads on engines with outdated weights, up to the number of concurrent loads that the
  * weight store allows. */
 static void
-on_engine_load_check (void *owner, void *argument)
+start_loads_on_outdated_engines (void *owner, void *argument)
 {
   LxWeightSwaps *swaps = owner;
   LxWorld *world = swaps->world;
@@ -74,16 +74,17 @@
       if (!engine->alive || engine->loading || engine->version == swaps->newest_version)
         continue;
       lx_engine_load_version (engine, swaps->newest_version);
-      notify_instances_of_swap (world, i, true,
-                                lx_world_now (world) + engine->times.load_time
-                                    + engine->times.pause_time);
+      notify_instances_of_weight_swap (world, i, true,
+                                       lx_world_now (world) + engine->times.load_time
+                                           + engine->times.pause_time);
       loading++;
     }
-  lx_world_schedule (world, LOAD_CHECK_INTERVAL, on_engine_load_check, swaps, NULL, NULL);
+  lx_world_schedule (world, LOAD_CHECK_INTERVAL, start_loads_on_outdated_engines, swaps, NULL,
+                     NULL);
 }
 
 static void
-on_newest_version_notice (LxInstance *instance, void *argument)
+on_newest_version_notice_arrived (LxInstance *instance, void *argument)
 {
   const LcVersion *newest = argument;
 
@@ -101,7 +102,7 @@
       LcVersion *newest = LB_NEW (LcVersion);
       *newest = swaps->newest_version;
       lx_instance_post_message (&world->instances[i], world->options.site->latency_between,
-                                on_newest_version_notice, newest, free);
+                                on_newest_version_notice_arrived, newest, free);
     }
 }
 
@@ -127,7 +128,7 @@
 lx_weight_swaps_start (LxWeightSwaps *swaps)
 {
   notify_instances_of_newest_version (swaps);
-  on_engine_load_check (swaps, NULL);
+  start_loads_on_outdated_engines (swaps, NULL);
   if (swaps->world->options.is_scripted)
     return;
   lx_world_schedule (swaps->world, swaps->world->options.version_interval, on_new_version_due,
--- a/packages/sim/src/lx-trace.c
+++ b/packages/sim/src/lx-trace.c
@@ -100,7 +100,7 @@
 
 /* Checks that the line has the keys that its event or expectation requires. */
 static bool
-check_required_keys (const LxTraceLine *line, const char *where, LbError *error)
+check_required_keys_of_line (const LxTraceLine *line, const char *where, LbError *error)
 {
   bool needs_call = line->event == LX_EVENT_CALL || line->event == LX_EVENT_SERVICE
                     || (line->expect >= LX_EXPECT_WHOLE && line->expect <= LX_EXPECT_RUNS);
@@ -124,7 +124,7 @@
 }
 
 static bool
-parse_header (LxTrace *trace, struct json_object *object, const char *where, LbError *error)
+parse_trace_header (LxTrace *trace, struct json_object *object, const char *where, LbError *error)
 {
   Header header
       = { .seed = 1, .trainers = 1, .groups = 8, .samples = 4, .shortest = 20, .train_ms = 1000 };
@@ -148,7 +148,7 @@
 }
 
 static bool
-parse_and_add_line (
+parse_and_add_trace_line (
     LxTrace *trace, struct json_object *object, int number, const char *where, LbError *error)
 {
   LxTraceLine line = { .line = number,
@@ -160,7 +160,7 @@
                        .live_reserve = 0.3 };
 
   if (!lb_settings_fill_struct (object, line_specs, &line, where, error)
-      || !check_required_keys (&line, where, error))
+      || !check_required_keys_of_line (&line, where, error))
     return false;
   trace->lines = lb_realloc (trace->lines, (trace->n_lines + 1) * sizeof (LxTraceLine));
   trace->lines[trace->n_lines++] = line;
@@ -168,7 +168,7 @@
 }
 
 static bool
-parse_header_or_line (
+parse_trace_header_or_line (
     LxTrace *trace, const char *text, size_t length, int number, const char *file, LbError *error)
 {
   char where[256];
@@ -179,8 +179,8 @@
   struct json_object *object = lb_settings_parse (text, length, where, error);
   if (!object)
     return false;
-  bool ok = trace->site ? parse_and_add_line (trace, object, number, where, error)
-                        : parse_header (trace, object, where, error);
+  bool ok = trace->site ? parse_and_add_trace_line (trace, object, number, where, error)
+                        : parse_trace_header (trace, object, where, error);
   json_object_put (object);
   return ok;
 }
@@ -196,7 +196,7 @@
     {
       const char *stop = memchr (text, '\n', (size_t)(end - text));
       char *line = lb_strndup (text, (size_t)((stop ? stop : end) - text));
-      bool ok = parse_header_or_line (trace, line, strlen (line), ++number, file, error);
+      bool ok = parse_trace_header_or_line (trace, line, strlen (line), ++number, file, error);
 
       free (line);
       if (!ok)
--- a/packages/sim/src/lx-trainer.c
+++ b/packages/sim/src/lx-trainer.c
@@ -24,7 +24,7 @@
 /* Share of the samples that are stragglers. */
 #define STRAGGLER_SHARE 0.05
 
-static void send_open_or_pull_request (LxTrainer *trainer);
+static void send_open_step_or_pull_request (LxTrainer *trainer);
 
 /* Hashes the numbers to a value from 0 inclusive to 1 exclusive. */
 static double
@@ -138,17 +138,17 @@
 on_trainer_request_due (void *owner, void *argument)
 {
   (void)argument;
-  send_open_or_pull_request (owner);
+  send_open_step_or_pull_request (owner);
 }
 
 static void
-schedule_open_or_pull_request (LxTrainer *trainer, LbTime delay)
+schedule_trainer_request (LxTrainer *trainer, LbTime delay)
 {
   lx_world_schedule (trainer->world, delay, on_trainer_request_due, trainer, NULL, NULL);
 }
 
 static void
-on_open_step_request (LxInstance *instance, void *argument)
+on_open_step_request_arrived (LxInstance *instance, void *argument)
 {
   LxTrainer *trainer = argument;
   LcStepSpec spec = { 0 };
@@ -177,7 +177,7 @@
     return;
   trainer->owner = instance->index;
   lx_instance_post_message (&world->instances[trainer->owner], world->options.site->client_latency,
-                            on_open_step_request, trainer, NULL);
+                            on_open_step_request_arrived, trainer, NULL);
 }
 
 /* A pull in transit to an instance, with its own copy of the cursor. */
@@ -197,7 +197,7 @@
 }
 
 static void
-on_pull_arrived (LxInstance *instance, void *argument)
+on_pull_arrived_at_instance (LxInstance *instance, void *argument)
 {
   PullInTransit *transit = argument;
 
@@ -214,7 +214,7 @@
     return;
   trainer->pull_id = 0;
   trainer->is_step_open = false;
-  send_open_or_pull_request (trainer);
+  send_open_step_or_pull_request (trainer);
 }
 
 /* Sends a pull with the newest weight version and the cursor of the last received chunk. */
@@ -237,13 +237,13 @@
                   .wait_until = lx_world_now (world) + PULL_WAIT_TIME };
   LB_COPY (transit->pull.subscription, trainer->name);
   lx_instance_post_message (&world->instances[trainer->owner], world->options.site->client_latency,
-                            on_pull_arrived, transit, free_pull_in_transit);
+                            on_pull_arrived_at_instance, transit, free_pull_in_transit);
   lx_world_schedule (world, PULL_TIMEOUT, on_pull_timeout, trainer,
                      (void *)(uintptr_t)trainer->pull_id, NULL);
 }
 
 static void
-report_stuck_step (LxTrainer *trainer)
+report_stuck_step_after_timeout (LxTrainer *trainer)
 {
   LxWorld *world = trainer->world;
   LbTime now = lx_world_now (world);
@@ -262,21 +262,21 @@
 
 /* Sends a request to open the step, or a pull once the training on the previous step has ended. */
 static void
-send_open_or_pull_request (LxTrainer *trainer)
+send_open_step_or_pull_request (LxTrainer *trainer)
 {
   LbTime now = lx_world_now (trainer->world);
 
-  report_stuck_step (trainer);
+  report_stuck_step_after_timeout (trainer);
   if (trainer->pull_id != 0)
     return;
   if (!trainer->is_step_open)
     {
       send_open_step_request (trainer);
-      schedule_open_or_pull_request (trainer, REQUEST_RETRY_DELAY);
+      schedule_trainer_request (trainer, REQUEST_RETRY_DELAY);
     }
   else if (now < trainer->train_until)
     {
-      schedule_open_or_pull_request (trainer, trainer->train_until - now);
+      schedule_trainer_request (trainer, trainer->train_until - now);
     }
   else
     {
@@ -285,7 +285,7 @@
 }
 
 static void
-begin_step (LxTrainer *trainer)
+reset_state_and_request_step (LxTrainer *trainer)
 {
   const LxOptions *options = &trainer->world->options;
 
@@ -296,7 +296,7 @@
   trainer->step_requested_at = lx_world_now (trainer->world);
   free (trainer->cursor);
   trainer->cursor = lb_strdup ("");
-  send_open_or_pull_request (trainer);
+  send_open_step_or_pull_request (trainer);
 }
 
 void
@@ -304,7 +304,7 @@
 {
   trainer->max_steps = max_steps;
   trainer->train_until = lx_world_now (trainer->world);
-  begin_step (trainer);
+  reset_state_and_request_step (trainer);
 }
 
 LbTime
@@ -314,7 +314,7 @@
 }
 
 static uint64_t
-get_audit_step_index (const LxTrainer *trainer)
+compute_audit_step_index (const LxTrainer *trainer)
 {
   return (uint64_t)trainer->step * trainer->world->options.n_trainers + trainer->index;
 }
@@ -361,7 +361,7 @@
 }
 
 static void
-finish_step (LxTrainer *trainer)
+finish_step_and_request_next (LxTrainer *trainer)
 {
   LxWorld *world = trainer->world;
   const LxOptions *options = &world->options;
@@ -372,7 +372,8 @@
                                lx_world_get_event_number (world),
                                "%s step %" PRId64 " done with %" PRId64 " of %" PRId64 " samples",
                                trainer->name, trainer->step, trainer->n_received, slots);
-  lx_audit_get_or_add_step_tokens (&world->audit, get_audit_step_index (trainer))->is_done = true;
+  lx_audit_get_or_add_step_tokens (&world->audit, compute_audit_step_index (trainer))->is_done
+      = true;
   if (options->explain)
     print_step_times (trainer);
   if (trainer->step > 0)
@@ -388,11 +389,11 @@
   trainer->train_until = lx_world_now (world) + options->train_time;
   if (trainer->step == trainer->max_steps)
     return;
-  begin_step (trainer);
+  reset_state_and_request_step (trainer);
 }
 
 static bool
-is_equal_label (const LcLabel *a, const LcLabel *b)
+are_labels_complete_and_equal (const LcLabel *a, const LcLabel *b)
 {
   if (a->unlabelled || b->unlabelled || a->n_spans != b->n_spans || a->tokens != b->tokens)
     return false;
@@ -404,10 +405,10 @@
 }
 
 static void
-check_and_count_sample (LxTrainer *trainer,
-                        const LxChunkSample *sample,
-                        const LcLabel *expected_label,
-                        int64_t length)
+check_and_count_received_sample (LxTrainer *trainer,
+                                 const LxChunkSample *sample,
+                                 const LcLabel *expected_label,
+                                 int64_t length)
 {
   LxWorld *world = trainer->world;
   int64_t staleness = 0;
@@ -421,7 +422,7 @@
                                "%s %s/%" PRId64 " has %" PRId64 " of %" PRId64 " tokens",
                                trainer->name, sample->group, sample->index, expected_label->tokens,
                                length);
-  if (!is_equal_label (expected_label, &sample->label))
+  if (!are_labels_complete_and_equal (expected_label, &sample->label))
     lx_audit_report_violation (&world->audit, LX_VIOLATION_MISLABELLED, lx_world_now (world),
                                lx_world_get_event_number (world),
                                "%s %s/%" PRId64 ": expected the label of the text %s, got another",
@@ -443,7 +444,7 @@
 }
 
 static void
-record_stream_if_ended_last (LxTrainer *trainer, const LxText *text)
+record_last_ended_stream_of_step (LxTrainer *trainer, const LxText *text)
 {
   if (text->n_segments == 0)
     return;
@@ -481,12 +482,12 @@
                                lx_world_get_event_number (world),
                                "%s %s/%" PRId64 ": expected tokens without gap or overlap, got %s",
                                trainer->name, sample->group, sample->index, sample->text);
-  record_stream_if_ended_last (trainer, &text);
+  record_last_ended_stream_of_step (trainer, &text);
   lx_audit_compute_version_label (&world->audit, &text, &expected_label);
-  check_and_count_sample (trainer, sample, &expected_label,
-                          lx_compute_sample_length (&world->options, trainer->index, trainer->step,
-                                                    group, sample->index));
-  lx_audit_get_or_add_step_tokens (&world->audit, get_audit_step_index (trainer))->delivered
+  check_and_count_received_sample (trainer, sample, &expected_label,
+                                   lx_compute_sample_length (&world->options, trainer->index,
+                                                             trainer->step, group, sample->index));
+  lx_audit_get_or_add_step_tokens (&world->audit, compute_audit_step_index (trainer))->delivered
       += expected_label.tokens;
   lx_text_clear (&text);
 }
@@ -506,9 +507,9 @@
       if (chunk->error.code == LB_ERROR_UNKNOWN_STEP || chunk->error.code == LB_ERROR_STALE_SESSION
           || chunk->error.code == LB_ERROR_DRAINING)
         trainer->is_step_open = false;
-      schedule_open_or_pull_request (trainer, chunk->retry_after > REQUEST_RETRY_DELAY
-                                                  ? chunk->retry_after
-                                                  : REQUEST_RETRY_DELAY);
+      schedule_trainer_request (trainer, chunk->retry_after > REQUEST_RETRY_DELAY
+                                             ? chunk->retry_after
+                                             : REQUEST_RETRY_DELAY);
       goto out;
     }
   for (size_t i = 0; i < chunk->n_samples; i++)
@@ -516,9 +517,9 @@
   free (trainer->cursor);
   trainer->cursor = lb_strdup (chunk->cursor);
   if (chunk->remaining == 0)
-    finish_step (trainer);
+    finish_step_and_request_next (trainer);
   else
-    send_open_or_pull_request (trainer);
+    send_open_step_or_pull_request (trainer);
 out:
   lx_chunk_free (chunk);
 }
@@ -530,7 +531,7 @@
     return;
   trainer->pull_id = 0;
   trainer->is_step_open = false;
-  schedule_open_or_pull_request (trainer, REQUEST_RETRY_DELAY);
+  schedule_trainer_request (trainer, REQUEST_RETRY_DELAY);
 }
 
 void
@@ -539,5 +540,5 @@
   trainer->owner = owner;
   trainer->is_step_open = false;
   trainer->pull_id = 0;
-  send_open_or_pull_request (trainer);
+  send_open_step_or_pull_request (trainer);
 }
--- a/packages/sim/src/lx-world.c
+++ b/packages/sim/src/lx-world.c
@@ -114,7 +114,7 @@
 }
 
 static void
-on_stream_end (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end)
+on_engine_stream_end (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end)
 {
   LxWorld *world = user;
 
@@ -123,7 +123,7 @@
 }
 
 static void
-on_stream_silenced (void *user, LxEngine *engine, const LxStream *stream)
+on_engine_stream_silenced (void *user, LxEngine *engine, const LxStream *stream)
 {
   LxWorld *world = user;
 
@@ -132,7 +132,7 @@
 }
 
 static void
-on_tokens_generated (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens)
+on_engine_tokens_generated (void *user, LxEngine *engine, const LxStream *stream, int64_t tokens)
 {
   LxWorld *world = user;
   uint64_t step = lx_audit_get_job (&world->audit, stream->spec.job)->step;
@@ -160,9 +160,9 @@
   engine->is_service = is_service;
   engine->concurrency = is_service ? MAX_STREAMS_PER_SERVICE_ENDPOINT : world->options.concurrency;
   engine->listener = (LxEngineListener){ .on_piece = on_engine_piece,
-                                         .on_end = on_stream_end,
-                                         .on_generated = on_tokens_generated,
-                                         .on_silenced = on_stream_silenced,
+                                         .on_end = on_engine_stream_end,
+                                         .on_generated = on_engine_tokens_generated,
+                                         .on_silenced = on_engine_stream_silenced,
                                          .user = world };
   world->engines[index] = engine;
 }
--- a/packages/sim/tests/test-engine.c
+++ b/packages/sim/tests/test-engine.c
@@ -32,7 +32,7 @@
 }
 
 static void
-check_and_record_end (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end)
+check_and_record_stream_end (void *user, LxEngine *engine, const LxStream *stream, LcAttemptEnd end)
 {
   EngineOutput *output = user;
 
@@ -59,7 +59,7 @@
 
   engine->concurrency = 4;
   engine->listener = (LxEngineListener){ .on_piece = check_and_record_piece,
-                                         .on_end = check_and_record_end,
+                                         .on_end = check_and_record_stream_end,
                                          .on_generated = ignore_generated_tokens,
                                          .user = output };
   output->queue = queue;
--- a/packages/sim/tests/test-ledger.c
+++ b/packages/sim/tests/test-ledger.c
@@ -44,7 +44,7 @@
 }
 
 static void
-expect_parse_error (const char *text, LbErrorCode code, const char *where)
+expect_trace_parse_error (const char *text, LbErrorCode code, const char *where)
 {
   LxTrace trace;
   LbError error = { 0 };
@@ -59,18 +59,20 @@
 
 Test (trace, parse_errors_name_the_line)
 {
-  expect_parse_error ("", LB_ERROR_MISSING_KEY, "t.jsonl");
-  expect_parse_error ("{ \"format\": 2, \"site\": \"hoa-sen\" }\n", LB_ERROR_BAD_VALUE,
-                      "t.jsonl:1");
-  expect_parse_error ("{ \"format\": 1, \"site\": \"nowhere\" }\n", LB_ERROR_BAD_VALUE,
-                      "t.jsonl:1");
-  expect_parse_error (TRACE_HEADER "{ \"event\": \"version\", ", LB_ERROR_BAD_JSON, "t.jsonl:2");
-  expect_parse_error (TRACE_HEADER "{ \"event\": \"version\", \"att_ms\": 3 }",
-                      LB_ERROR_UNKNOWN_KEY, "t.jsonl:2");
-  expect_parse_error (TRACE_HEADER "\n{ \"event\": \"call\" }", LB_ERROR_MISSING_KEY, "t.jsonl:3");
-  expect_parse_error (TRACE_HEADER "{ \"event\": \"fault\", \"fault\": \"flood\" }",
-                      LB_ERROR_BAD_VALUE, "t.jsonl:2");
-  expect_parse_error (TRACE_HEADER "{ \"at_ms\": 5 }", LB_ERROR_MISSING_KEY, "t.jsonl:2");
+  expect_trace_parse_error ("", LB_ERROR_MISSING_KEY, "t.jsonl");
+  expect_trace_parse_error ("{ \"format\": 2, \"site\": \"hoa-sen\" }\n", LB_ERROR_BAD_VALUE,
+                            "t.jsonl:1");
+  expect_trace_parse_error ("{ \"format\": 1, \"site\": \"nowhere\" }\n", LB_ERROR_BAD_VALUE,
+                            "t.jsonl:1");
+  expect_trace_parse_error (TRACE_HEADER "{ \"event\": \"version\", ", LB_ERROR_BAD_JSON,
+                            "t.jsonl:2");
+  expect_trace_parse_error (TRACE_HEADER "{ \"event\": \"version\", \"att_ms\": 3 }",
+                            LB_ERROR_UNKNOWN_KEY, "t.jsonl:2");
+  expect_trace_parse_error (TRACE_HEADER "\n{ \"event\": \"call\" }", LB_ERROR_MISSING_KEY,
+                            "t.jsonl:3");
+  expect_trace_parse_error (TRACE_HEADER "{ \"event\": \"fault\", \"fault\": \"flood\" }",
+                            LB_ERROR_BAD_VALUE, "t.jsonl:2");
+  expect_trace_parse_error (TRACE_HEADER "{ \"at_ms\": 5 }", LB_ERROR_MISSING_KEY, "t.jsonl:2");
 }
 
 Test (trace, reads_events_and_expectations)
--- a/packages/sim/tests/test-queue.c
+++ b/packages/sim/tests/test-queue.c
@@ -11,7 +11,7 @@
 } EventLog;
 
 static void
-log_handled_event (void *owner, void *argument)
+append_event_to_log (void *owner, void *argument)
 {
   EventLog *log = owner;
 
@@ -23,9 +23,9 @@
   LxQueue *queue = lx_queue_new ();
   EventLog log = { 0 };
 
-  lx_queue_add_event (queue, 30 * LB_SEC, log_handled_event, &log, (void *)3, NULL);
-  lx_queue_add_event (queue, 10 * LB_SEC, log_handled_event, &log, (void *)1, NULL);
-  lx_queue_add_event (queue, 10 * LB_SEC, log_handled_event, &log, (void *)2, NULL);
+  lx_queue_add_event (queue, 30 * LB_SEC, append_event_to_log, &log, (void *)3, NULL);
+  lx_queue_add_event (queue, 10 * LB_SEC, append_event_to_log, &log, (void *)1, NULL);
+  lx_queue_add_event (queue, 10 * LB_SEC, append_event_to_log, &log, (void *)2, NULL);
   while (lx_queue_run_next_event (queue, 20 * LB_SEC))
     continue;
   cr_assert_eq (log.n_events, 2);
--- a/packages/sim/tests/test-replay.c
+++ b/packages/sim/tests/test-replay.c
@@ -23,7 +23,7 @@
 }
 
 static void
-expect_failed_replay (const char *text, const char *expected)
+expect_replay_failure_output (const char *text, const char *expected)
 {
   char *output;
 
@@ -41,21 +41,21 @@
   char text[1024];
 
   snprintf (text, sizeof text, "%s{ \"expect\": \"not-run\", \"call\": \"a\" }", call);
-  expect_failed_replay (text, "t:3: not-run: ok");
+  expect_replay_failure_output (text, "t:3: not-run: ok");
   snprintf (text, sizeof text, "%s{ \"expect\": \"unknown\", \"call\": \"a\" }", call);
-  expect_failed_replay (text, "t:3: unknown: ok");
+  expect_replay_failure_output (text, "t:3: unknown: ok");
   snprintf (text, sizeof text, "%s{ \"expect\": \"whole\", \"call\": \"a\", \"by_ms\": 2100 }",
             call);
-  expect_failed_replay (text, "answer arrived later");
+  expect_replay_failure_output (text, "answer arrived later");
   snprintf (text, sizeof text, "%s{ \"expect\": \"runs\", \"call\": \"a\", \"count\": 0 }", call);
-  expect_failed_replay (text, "more often than count");
-  expect_failed_replay (TRACE_HEADER
-                        "{ \"expect\": \"in-force\", \"revision\": 2, \"by_ms\": 9000 }",
-                        "older revision");
-  expect_failed_replay (TRACE_HEADER
-                        "{ \"expect\": \"drained\", \"instance\": \"i1\", \"by_ms\": 9000 }",
-                        "did not complete its drain by by_ms");
-  expect_failed_replay (
+  expect_replay_failure_output (text, "more often than count");
+  expect_replay_failure_output (TRACE_HEADER
+                                "{ \"expect\": \"in-force\", \"revision\": 2, \"by_ms\": 9000 }",
+                                "older revision");
+  expect_replay_failure_output (
+      TRACE_HEADER "{ \"expect\": \"drained\", \"instance\": \"i1\", \"by_ms\": 9000 }",
+      "did not complete its drain by by_ms");
+  expect_replay_failure_output (
       "{ \"format\": 1, \"site\": \"hoa-sen\" }\n"
       "{ \"expect\": \"step-done\", \"trainer\": \"trainer-1\", \"by_ms\": 9000 }",
       "samples of the step are missing");
