--- a/packages/core/tests/test-carried.c
+++ b/packages/core/tests/test-carried.c
@@ -16,7 +16,7 @@
   return text;
 }
 
-Test (text_cache, keeps_the_most_complete_text)
+Test (text_cache, cache_keeps_the_most_complete_text)
 {
   LcTextCache *cache = lc_text_cache_new (1 << 20);
   LcCachedText text = make_cached_text ("i", 9);
@@ -36,7 +36,7 @@
 
 /* Two trainers may use the same id for different items. Neither may get the cached text of the
  * other trainer's item. */
-Test (text_cache, does_not_find_another_fingerprint_or_an_older_version)
+Test (text_cache, text_of_another_fingerprint_or_an_older_version_is_not_found)
 {
   LcTextCache *cache = lc_text_cache_new (1 << 20);
   LcCachedText text = make_cached_text ("i", 9);
@@ -52,7 +52,7 @@
   lc_text_cache_free (cache);
 }
 
-Test (text_cache, is_bounded_in_bytes_and_age)
+Test (text_cache, cached_texts_are_bounded_in_bytes_and_age)
 {
   LcTextCache *cache = lc_text_cache_new (1000);
   LcCachedText found;
--- a/packages/core/tests/test-crowding.c
+++ b/packages/core/tests/test-crowding.c
@@ -4,7 +4,7 @@
 
 /* Guards against a subset of endpoints that grows after a short burst of requests, or does not grow
  * under sustained load. */
-Test (utilisation, finds_the_service_with_sustained_high_utilisation)
+Test (utilisation, service_with_sustained_high_utilisation_is_found)
 {
   LcUtilisation *utilisation = lc_utilisation_new ();
 
--- a/packages/core/tests/test-cursor.c
+++ b/packages/core/tests/test-cursor.c
@@ -18,7 +18,7 @@
   return cursor;
 }
 
-Test (cursor, is_unchanged_after_encode_and_decode)
+Test (cursor, cursor_is_unchanged_after_encode_and_decode)
 {
   LcCursor cursor = make_cursor_with_three_slots ();
   LcCursor decoded;
@@ -40,7 +40,7 @@
 
 /* A trainer sends the cursor of another step, or a proxy damages a cursor. If the cursor were
  * accepted, it would acknowledge samples that the trainer never received, and lose them. */
-Test (cursor, damaged_or_of_another_step_is_rejected)
+Test (cursor, cursor_that_is_damaged_or_of_another_step_is_rejected)
 {
   LcCursor cursor = make_cursor_with_three_slots ();
   LcCursor decoded;
--- a/packages/core/tests/test-endpoints.c
+++ b/packages/core/tests/test-endpoints.c
@@ -66,7 +66,7 @@
 /* A peer reports that the next process of an endpoint is leaving, before this instance has seen
  * that process. The process must be excluded from its first report on, not only after its own
  * announcement. */
-Test (leaving, mark_of_an_unknown_incarnation_applies_to_its_first_report)
+Test (leaving, leaving_mark_of_an_unknown_incarnation_applies_to_its_first_report)
 {
   Fixture f;
 
@@ -81,7 +81,7 @@
 
 /* A new instance learns that an endpoint is leaving before it gets the endpoint's first report. The
  * incarnation in that report must not count as a new process. */
-Test (leaving, mark_before_the_first_report_is_kept)
+Test (leaving, leaving_mark_set_before_the_first_report_is_kept)
 {
   Fixture f;
 
@@ -355,7 +355,7 @@
 
 /* An endpoint's clock is ahead for one report. If that time were used, all later reports would be
  * outdated, and the load and the version would be hours old. */
-Test (report, time_in_the_future_does_not_block_later_reports)
+Test (report, report_from_the_future_does_not_block_later_reports)
 {
   Fixture f;
   LcLoadReport ahead = { .incarnation = "a", .version = 1, .measured_at = 3600 * LB_SEC };
@@ -367,7 +367,7 @@
   fixture_clear (&f);
 }
 
-Test (report, invalid_values_do_not_attract_requests)
+Test (report, report_with_invalid_values_does_not_attract_requests)
 {
   Fixture f;
   LcLoadReport report = {
--- a/packages/core/tests/test-lease-ends.c
+++ b/packages/core/tests/test-lease-ends.c
@@ -83,14 +83,15 @@
 
 /* Guards against an engine that the new holder switches to one version and the old holder switches
  * back. The old holder cannot reach the store, and its slow clock shows the lease as valid after it
- * has expired for others. It must stop so early that its last order arrives before that expiry. */
+ * has expired for others. The old holder must stop so early that its last order arrives before the
+ * lease expires for others. */
 Test (lease_ends, holder_with_a_slow_clock_stops_before_others_can_claim)
 {
   LcLease *lease = make_lease_held_since_claim ();
   LbTime expiry_for_others = CLAIMED_AT + (LbTime)(LEASE_DURATION / (1 + MAX_CLOCK_DRIFT));
 
   cr_assert (is_order_allowed_after_ticks_until (lease, CLAIMED_AT + 3800 * LB_MSEC),
-             "the holder stops earlier than it has to");
+             "expected the holder to allow orders 3.8 s after its claim, but it does not");
   cr_assert_not (
       is_order_allowed_after_ticks_until (lease, expiry_for_others - ORDER_TRANSIT_TIME));
   lc_lease_free (lease);
@@ -112,8 +113,8 @@
 }
 
 /* Guards against a candidate that claims the lease while the holder may still give orders, because
- * the candidate's clock is fast. It must wait for the slowest clock within the allowed drift, and
- * for the holder's last order to arrive. */
+ * the candidate's clock is fast. The candidate must wait until the lease has expired by the slowest
+ * clock within the allowed drift, and until the holder's last order has arrived. */
 Test (lease_ends, candidate_with_a_fast_clock_waits_for_the_holders_last_order)
 {
   LcLease *lease = make_candidate_lease ("b");
@@ -122,6 +123,6 @@
   cr_assert_not (does_candidate_claim_lease_at (lease, CLAIMED_AT));
   cr_assert_not (does_candidate_claim_lease_at (lease, expiry_for_holder + ORDER_TRANSIT_TIME));
   cr_assert (does_candidate_claim_lease_at (lease, expiry_for_holder + 200 * LB_MSEC),
-             "the candidate waits longer than it has to");
+             "expected a claim 200 ms after the expiry for the holder, got none");
   lc_lease_free (lease);
 }
--- a/packages/core/tests/test-lease.c
+++ b/packages/core/tests/test-lease.c
@@ -258,7 +258,7 @@
   return now - start;
 }
 
-Test (lease, first_candidate_holds_and_keeps_it)
+Test (lease, first_candidate_gets_and_keeps_the_lease)
 {
   run_simulation_for (3 * LB_SEC);
   cr_assert_eq (find_holder_that_can_order (), 0);
@@ -385,17 +385,17 @@
   holders[0].paused_until = now + 3 * LB_SEC / 2;
   run_simulation_for (3 * LB_SEC / 2);
   cr_assert_eq (find_holder_that_can_order (), -1,
-                "orders are allowed before the first tick after the pause");
+                "expected no orders before the first tick after the pause, but they are allowed");
   tick_holder_if_due (0);
   cr_assert_eq (find_holder_that_can_order (), -1,
-                "orders are allowed before a renewal after the pause");
+                "expected no orders before a renewal after the pause, but they are allowed");
   run_simulation_for (LB_SEC);
   cr_assert_eq (find_holder_that_can_order (), 0);
 }
 
 /* The holder drains and releases the lease: another instance must hold it within 3 s, without
- * waiting for it to expire. */
-Test (lease, handover_at_drain_is_quick)
+ * waiting for the lease to expire. */
+Test (lease, drain_hands_the_lease_over_within_three_seconds)
 {
   LbList actions;
 
@@ -544,7 +544,7 @@
 /* All processes are killed and start again. Guards against candidates that wait for the dead
  * holder's lease to expire: for four seconds nobody ordered weights, and trainers' steps found no
  * engine with recent enough weights. */
-Test (lease, is_claimed_at_once_from_a_holder_known_to_have_ended)
+Test (lease, lease_is_claimed_at_once_from_a_holder_known_to_have_ended)
 {
   LcLease *lease = make_candidate_lease ();
 
@@ -666,6 +666,6 @@
     }
   answer_lease_read_and_confirm_claim (lease, "b", 8, 7 * LB_SEC);
   cr_assert (lc_lease_allows_order (lease, false, 7100 * LB_MSEC),
-             "no orders although reacquire_delay is over");
+             "expected orders after the end of reacquire_delay, but they are not allowed");
   lc_lease_free (lease);
 }
--- a/packages/core/tests/test-quarantine.c
+++ b/packages/core/tests/test-quarantine.c
@@ -291,7 +291,7 @@
                  "seed %lu: the harmful request is not quarantined", seed);
       cr_assert_eq (lc_quarantine_ends_at (one, HARMFUL_FINGERPRINT),
                     lc_quarantine_ends_at (other, HARMFUL_FINGERPRINT),
-                    "seed %lu: the quarantine ends at different times", seed);
+                    "seed %lu: expected the same end of the quarantine, got different ones", seed);
       cr_assert_eq (lc_quarantine_count_fingerprints (one), 1,
                     "seed %lu: more or fewer than 1 fingerprint is quarantined", seed);
       cr_assert_eq (lc_quarantine_count_fingerprints (other), 1,
--- a/packages/core/tests/test-subset.c
+++ b/packages/core/tests/test-subset.c
@@ -213,7 +213,7 @@
 
 /* All instances must use the same endpoints of a service: those whose keys do not exceed the bound
  * that is published for it. */
-Test (subset, follows_published_bounds)
+Test (subset, subset_holds_the_rows_up_to_the_published_bounds)
 {
   LcSubset *subset = new_subset_with_required_services ();
   Table table;
--- a/packages/core/tests/test-usage-reports.c
+++ b/packages/core/tests/test-usage-reports.c
@@ -142,7 +142,8 @@
 {
   if (simulation.accepted_text[operation->window])
     cr_assert_str_eq (simulation.accepted_text[operation->window], operation->text,
-                      "two reports of window %lld differ", (long long)operation->window);
+                      "expected the same report of window %lld again, got a different one",
+                      (long long)operation->window);
   else
     {
       simulation.accepted_text[operation->window] = lb_strdup (operation->text);
--- a/packages/sim/tests/test-ledger.c
+++ b/packages/sim/tests/test-ledger.c
@@ -30,7 +30,7 @@
   lx_audit_clear (&audit);
 }
 
-Test (audit, keeps_description_of_first_violation_and_counts_all)
+Test (audit, audit_describes_the_first_violation_and_counts_all)
 {
   LxAudit audit;
 
@@ -75,7 +75,7 @@
   expect_trace_parse_error (TRACE_HEADER "{ \"at_ms\": 5 }", LB_ERROR_MISSING_KEY, "t.jsonl:2");
 }
 
-Test (trace, reads_events_and_expectations)
+Test (trace, trace_parser_reads_events_and_expectations)
 {
   const char *text = TRACE_HEADER "{ \"at_ms\": 5, \"event\": \"call\", \"call\": \"a\" }\n"
                                   "{ \"expect\": \"whole\", \"call\": \"a\", \"by_ms\": 9 }\n";
