--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -465,8 +465,8 @@
   if (!catalog->has_had_many_endpoints)
     return;
   lp_follow_start_call_if_due (catalog->follower, now);
-  set_takeover_rank (catalog, get_takeover_rank (catalog));
-  send_next_catalog_write (catalog, now);
+  set_publisher_takeover_rank (catalog, get_publisher_takeover_rank (catalog));
+  write_pending_catalog_changes (catalog, now);
 }
 
 void
