--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -326,7 +326,7 @@
 ln_engine_plans_tick (LnEnginePlans *plans, const LcRoster *roster, bool may_write, LbTime now)
 {
   lp_follow_start_call_if_due (plans->row_watch, now);
-  set_is_writer (plans, may_write && lp_follow_has_delivered_all_rows (plans->row_watch), now);
+  set_is_plan_writer (plans, may_write && lp_follow_has_delivered_all_rows (plans->row_watch), now);
   if (!plans->is_writer)
     return;
   if (now >= plans->next_division_at && is_model_demand_known (plans, now))
--- a/packages/node/tests/test-steps.c
+++ b/packages/node/tests/test-steps.c
@@ -266,7 +266,7 @@
   for (int i = 0; i < 10; i++)
     cluster_run_event_loop_once (cluster);
   first->draining = true;
-  cluster_send_members (cluster);
+  cluster_send_member_lists (cluster);
   ln_hub_drain_tasks (first->context.hub);
   cluster_send_pull (cluster, 0, 4, 5000);
   /* Waits for several ticks of the drain, none of which may release the step while samples are
@@ -292,7 +292,7 @@
   Cluster *cluster = cluster_new (false);
 
   cluster->instances[0].draining = true;
-  cluster_send_members (cluster);
+  cluster_send_member_lists (cluster);
   ln_hub_drain_tasks (cluster->instances[0].context.hub);
   cluster_open_step (cluster, 0);
   cr_assert_eq (cluster->status, 202, "expected status 202, got the reply: %s", cluster->reply);
