--- a/tests/process/pt-cluster.c
+++ b/tests/process/pt-cluster.c
@@ -270,7 +270,7 @@
   LB_COPY (instance->name, name);
   LB_COPY (instance->data_centre, data_centre);
   spawn_instance_and_wait (cluster, instance);
-  pt_publish_instances (cluster);
+  pt_publish_instance_list (cluster);
   return instance;
 }
 
@@ -279,11 +279,11 @@
 {
   pt_process_clear (&instance->process);
   spawn_instance_and_wait (cluster, instance);
-  pt_publish_instances (cluster);
+  pt_publish_instance_list (cluster);
 }
 
 void
-pt_publish_instances (PtCluster *cluster)
+pt_publish_instance_list (PtCluster *cluster)
 {
   struct json_object *control, *list, *instances;
 
@@ -327,7 +327,7 @@
 }
 
 void
-pt_wait_until_ready (PtCluster *cluster, PtProgram *instance)
+pt_wait_until_instance_ready (PtCluster *cluster, PtProgram *instance)
 {
   pt_wait_until (cluster, "the instance is ready", is_instance_ready, instance);
 }
@@ -348,7 +348,7 @@
 }
 
 void
-pt_wait_for_exit (PtCluster *cluster, PtProcess *process, int code)
+pt_wait_for_exit_with_code (PtCluster *cluster, PtProcess *process, int code)
 {
   ExitWait exit_wait = { process };
 
@@ -369,7 +369,7 @@
 }
 
 struct json_object *
-pt_read_log (PtCluster *cluster, PtProgram *standin)
+pt_read_standin_log (PtCluster *cluster, PtProgram *standin)
 {
   struct json_object *log = si_client_call_json (&cluster->client, standin->address, "/log", NULL);
 
@@ -378,9 +378,9 @@
 }
 
 int64_t
-pt_read_log_counter (PtCluster *cluster, PtProgram *standin, const char *key)
+pt_read_standin_log_counter (PtCluster *cluster, PtProgram *standin, const char *key)
 {
-  struct json_object *log = pt_read_log (cluster, standin);
+  struct json_object *log = pt_read_standin_log (cluster, standin);
   int64_t value = si_json_get_int (log, key, -1);
 
   json_object_put (log);
@@ -390,7 +390,7 @@
 int64_t
 pt_count_call_runs (PtCluster *cluster, PtProgram *endpoint, const char *key)
 {
-  struct json_object *log = pt_read_log (cluster, endpoint);
+  struct json_object *log = pt_read_standin_log (cluster, endpoint);
   struct json_object *runs = NULL;
   int64_t n;
 
@@ -435,7 +435,7 @@
 }
 
 struct json_object *
-pt_wait_for_summary (PtCluster *cluster, PtProcess *process)
+pt_wait_for_client_summary (PtCluster *cluster, PtProcess *process)
 {
   ExitWait exit_wait = { process };
 
@@ -479,12 +479,12 @@
 }
 
 void
-pt_drain_instances (PtCluster *cluster)
+pt_drain_instances_and_wait_for_exit (PtCluster *cluster)
 {
   for (size_t i = 0; i < cluster->n_instances; i++)
     if (is_program_running (&cluster->instances[i]))
       pt_process_signal (&cluster->instances[i].process, SIGTERM);
   for (size_t i = 0; i < cluster->n_instances; i++)
     if (is_program_running (&cluster->instances[i]))
-      pt_wait_for_exit (cluster, &cluster->instances[i].process, 0);
+      pt_wait_for_exit_with_code (cluster, &cluster->instances[i].process, 0);
 }
--- a/tests/process/pt-resources.c
+++ b/tests/process/pt-resources.c
@@ -11,11 +11,11 @@
 #define APPLY_REQUEST_TIMEOUT (3 * LB_SEC)
 
 void
-pt_apply_change (PtCluster *cluster,
-                 PtProgram *instance,
-                 const char *changes,
-                 const char *if_match,
-                 SiResponse *response)
+pt_post_resource_changes (PtCluster *cluster,
+                          PtProgram *instance,
+                          const char *changes,
+                          const char *if_match,
+                          SiResponse *response)
 {
   const LhHeader headers[]
       = { { "authorization", "Bearer " PT_OPERATOR_TOKEN }, { "If-Match", if_match } };
@@ -68,7 +68,7 @@
   const PendingChange *pending = user;
   SiResponse response;
 
-  pt_apply_change (cluster, pending->instance, pending->changes, "*", &response);
+  pt_post_resource_changes (cluster, pending->instance, pending->changes, "*", &response);
   bool accepted = si_response_is_ok (&response);
   PT_ASSERT_MSG (accepted || response.status == 503 || response.failure != LB_OK,
                  "expected a success, status 503 or no response, got status %d: %s",
@@ -109,7 +109,7 @@
 }
 
 void
-pt_apply_resources (PtCluster *cluster, PtProgram *instance)
+pt_configure_cluster (PtCluster *cluster, PtProgram *instance)
 {
   struct json_object *changes = make_resource_changes (cluster);
   PendingChange pending = { instance, json_object_to_json_string (changes) };
@@ -119,7 +119,7 @@
 }
 
 void
-pt_apply_resources_at_any_instance (PtCluster *cluster)
+pt_configure_cluster_at_any_instance (PtCluster *cluster)
 {
   struct json_object *changes = make_resource_changes (cluster);
   PendingChange pending = { NULL, json_object_to_json_string (changes) };
@@ -171,7 +171,7 @@
 }
 
 void
-pt_wait_until_revision_in_force (PtCluster *cluster)
+pt_wait_until_instances_have_same_revision (PtCluster *cluster)
 {
   pt_wait_until (cluster, "all instances report the same active revision",
                  have_all_instances_same_revision, NULL);
--- a/tests/process/pt-shared.c
+++ b/tests/process/pt-shared.c
@@ -27,7 +27,7 @@
       "\"limits\": {\"maxBodyBytes\": 12582912}%s}";
 
 void
-ps_run_loop_once (PsCluster *cluster)
+ps_run_event_loop_once (PsCluster *cluster)
 {
   event_base_loop (cluster->base, EVLOOP_NONBLOCK);
   for (size_t i = 0; i < cluster->n_instances; i++)
@@ -156,12 +156,12 @@
 }
 
 void
-ps_call (PsCluster *cluster,
-         size_t instance,
-         const char *method,
-         const char *path,
-         const char *id,
-         const char *body)
+ps_call_and_wait (PsCluster *cluster,
+                  size_t instance,
+                  const char *method,
+                  const char *path,
+                  const char *id,
+                  const char *body)
 {
   int before = cluster->n_responses;
 
@@ -244,7 +244,7 @@
 bool
 ps_is_instance_ready (PsCluster *cluster, size_t instance)
 {
-  ps_call (cluster, instance, "GET", "/-/readiness", "", "");
+  ps_call_and_wait (cluster, instance, "GET", "/-/readiness", "", "");
   return cluster->response_status == 200;
 }
 
@@ -330,24 +330,24 @@
 {
   char *body = ps_make_batch_json (n_items);
 
-  ps_call (cluster, instance, "POST", "/steps/1", id, body);
+  ps_call_and_wait (cluster, instance, "POST", "/steps/1", id, body);
   free (body);
 }
 
 struct json_object *
-ps_read_results (PsCluster *cluster, size_t instance, const char *id)
+ps_read_first_results_page (PsCluster *cluster, size_t instance, const char *id)
 {
   char *path = lb_asprintf ("/-/lots/%s?after=0", id);
 
-  ps_call (cluster, instance, "GET", path, "", "");
+  ps_call_and_wait (cluster, instance, "GET", path, "", "");
   free (path);
   return cluster->response_status == 200 ? json_tokener_parse (cluster->response_body) : NULL;
 }
 
 int64_t
-ps_count_listed_results (PsCluster *cluster, size_t instance, const char *id)
+ps_count_results_on_first_page (PsCluster *cluster, size_t instance, const char *id)
 {
-  struct json_object *page = ps_read_results (cluster, instance, id);
+  struct json_object *page = ps_read_first_results_page (cluster, instance, id);
   int64_t next = page ? lb_json_int (page, "next", 0) : -1;
 
   json_object_put (page);
@@ -372,9 +372,12 @@
 }
 
 void
-ps_assert_all_results_listed (PsCluster *cluster, size_t instance, const char *id, int n_items)
+ps_assert_each_item_has_one_result (PsCluster *cluster,
+                                    size_t instance,
+                                    const char *id,
+                                    int n_items)
 {
-  struct json_object *page = ps_read_results (cluster, instance, id);
+  struct json_object *page = ps_read_first_results_page (cluster, instance, id);
   struct json_object *results = lb_json_member (page, "results");
   int times_listed[64] = { 0 };
   char score[64];
@@ -396,7 +399,7 @@
 }
 
 size_t
-ps_count_engine_runs (const PsCluster *cluster)
+ps_count_started_sample_streams (const PsCluster *cluster)
 {
   size_t n = 0;
 
@@ -420,7 +423,7 @@
 }
 
 int
-ps_count_in_log (const PsCluster *cluster, size_t instance, const char *text)
+ps_count_text_in_log (const PsCluster *cluster, size_t instance, const char *text)
 {
   const char *at = cluster->instances[instance].process.output;
   int count = 0;
--- a/tests/process/pt-shared.h
+++ b/tests/process/pt-shared.h
@@ -42,7 +42,7 @@
   size_t n_instances;
   /* organisations in the desired state, as text ", NAME: VALUE"; NULL: none */
   const char *organisations_json;
-  /* Headers that ps_start_call and ps_call send. */
+  /* Headers that ps_start_call and ps_call_and_wait send. */
   const char *api_key;              /* value of header Api-Key; NULL: not sent */
   const char *second_api_key;       /* value of a second Api-Key header; NULL: not sent */
   const char *claimed_organisation; /* value of a forged header Tenant; NULL: not sent */
@@ -62,7 +62,7 @@
       LbTime end_ = lb_clock_monotonic () + PS_WAIT_TIMEOUT;                                       \
       bool met_ = false;                                                                           \
       while (!(met_ = (condition)) && lb_clock_monotonic () < end_)                                \
-        ps_run_loop_once (cluster);                                                                \
+        ps_run_event_loop_once (cluster);                                                          \
       cr_assert (met_, "timed out waiting for: %s", #condition);                                   \
     }                                                                                              \
   while (0)
@@ -70,7 +70,7 @@
 void ps_cluster_init (PsCluster *cluster);
 void ps_cluster_clear (PsCluster *cluster);
 /* Handles pending events, polls the instances' processes and sleeps for 0.5 ms. */
-void ps_run_loop_once (PsCluster *cluster);
+void ps_run_event_loop_once (PsCluster *cluster);
 /* Writes the desired state to the store: routes /lookup/ and /steps/ of host h.example, then
  * more_routes (JSON: ", {...}" for each route, or ""). */
 void ps_put_desired_state (PsCluster *cluster, int version, const char *more_routes);
@@ -94,12 +94,12 @@
                         const char *id,
                         const char *body);
 /* Like ps_start_call, but waits for the response. */
-void ps_call (PsCluster *cluster,
-              size_t instance,
-              const char *method,
-              const char *path,
-              const char *id,
-              const char *body);
+void ps_call_and_wait (PsCluster *cluster,
+                       size_t instance,
+                       const char *method,
+                       const char *path,
+                       const char *id,
+                       const char *body);
 /* Returns the JSON of a batch: n_items samples in one group, each with a scorer call. The caller
  * frees it. */
 char *ps_make_batch_json (int n_items);
@@ -107,13 +107,16 @@
 void ps_submit_batch (PsCluster *cluster, size_t instance, const char *id, int n_items);
 /* Returns the first page of the batch's results; NULL if the request was rejected. The caller
  * releases it. */
-struct json_object *ps_read_results (PsCluster *cluster, size_t instance, const char *id);
+struct json_object *
+ps_read_first_results_page (PsCluster *cluster, size_t instance, const char *id);
 /* Returns the number of results on the first page; -1 if the request was rejected. */
-int64_t ps_count_listed_results (PsCluster *cluster, size_t instance, const char *id);
+int64_t ps_count_results_on_first_page (PsCluster *cluster, size_t instance, const char *id);
 /* Asserts that the batch lists each of its n_items exactly once, with the complete text and with
  * the score that its own scorer call returned. */
-void
-ps_assert_all_results_listed (PsCluster *cluster, size_t instance, const char *id, int n_items);
+void ps_assert_each_item_has_one_result (PsCluster *cluster,
+                                         size_t instance,
+                                         const char *id,
+                                         int n_items);
 /* Requests /metrics of the instance; the text is then in cluster->response_body. */
 void ps_fetch_metrics (PsCluster *cluster, size_t instance);
 /* Requests /metrics and returns the value of one metric; 0: the metric is absent. */
@@ -121,8 +124,8 @@
 /* Returns the index of the instance that owns exactly one batch; n_instances: none does. */
 size_t ps_find_batch_owner (PsCluster *cluster);
 /* Returns the number of sample streams, new or resumed, that all engines have started. */
-size_t ps_count_engine_runs (const PsCluster *cluster);
+size_t ps_count_started_sample_streams (const PsCluster *cluster);
 /* Returns how often the text occurs in the instance's log, which it prints to standard output. */
-int ps_count_in_log (const PsCluster *cluster, size_t instance, const char *text);
+int ps_count_text_in_log (const PsCluster *cluster, size_t instance, const char *text);
 
 #endif
--- a/tests/process/test-chaos.c
+++ b/tests/process/test-chaos.c
@@ -56,9 +56,9 @@
   pt_start_instance (cluster, "i1", "hall-a");
   pt_start_instance (cluster, "i2", "hall-b");
   pt_start_instance (cluster, "i3", "hall-c");
-  pt_apply_resources (cluster, &cluster->instances[0]);
+  pt_configure_cluster (cluster, &cluster->instances[0]);
   for (size_t i = 0; i < cluster->n_instances; i++)
-    pt_wait_until_ready (cluster, &cluster->instances[i]);
+    pt_wait_until_instance_ready (cluster, &cluster->instances[i]);
 }
 
 static void
@@ -124,7 +124,7 @@
   pt_process_signal (&engine->process, SIGKILL);
   pause_for_random_time (fixture, 300, 1200);
   pt_restart_engine (&fixture->cluster, engine, engine_options);
-  pt_apply_resources_at_any_instance (&fixture->cluster);
+  pt_configure_cluster_at_any_instance (&fixture->cluster);
 }
 
 static void
@@ -235,7 +235,7 @@
 static void
 check_trainer_succeeded (Fixture *fixture)
 {
-  struct json_object *summary = pt_wait_for_summary (&fixture->cluster, &fixture->trainer);
+  struct json_object *summary = pt_wait_for_client_summary (&fixture->cluster, &fixture->trainer);
 
   cr_assert (pt_process_has_exited (&fixture->trainer, 0), "trainer failed: %s (logs in %s)",
              json_object_to_json_string (summary), fixture->cluster.folder);
@@ -245,7 +245,8 @@
 static void
 check_completion_load_summary (Fixture *fixture)
 {
-  struct json_object *summary = pt_wait_for_summary (&fixture->cluster, &fixture->completion_load);
+  struct json_object *summary
+      = pt_wait_for_client_summary (&fixture->cluster, &fixture->completion_load);
 
   cr_assert_eq (si_json_get_int (summary, "wrong", -1), 0,
                 "wrong or truncated completions: %s (logs in %s)",
@@ -271,9 +272,10 @@
 static void
 check_order_run_counts (Fixture *fixture)
 {
-  struct json_object *summary = pt_wait_for_summary (&fixture->cluster, &fixture->order_load);
-  struct json_object *logs[] = { pt_read_log (&fixture->cluster, fixture->services[0]),
-                                 pt_read_log (&fixture->cluster, fixture->services[1]) };
+  struct json_object *summary
+      = pt_wait_for_client_summary (&fixture->cluster, &fixture->order_load);
+  struct json_object *logs[] = { pt_read_standin_log (&fixture->cluster, fixture->services[0]),
+                                 pt_read_standin_log (&fixture->cluster, fixture->services[1]) };
   struct json_object *not_run = NULL;
   char key[64];
 
@@ -319,7 +321,7 @@
   check_completion_load_summary (&fixture);
   check_order_run_counts (&fixture);
   check_trainer_succeeded (&fixture);
-  pt_drain_instances (&fixture.cluster);
+  pt_drain_instances_and_wait_for_exit (&fixture.cluster);
   pt_process_clear (&fixture.trainer);
   pt_process_clear (&fixture.completion_load);
   pt_process_clear (&fixture.order_load);
--- a/tests/process/test-config.c
+++ b/tests/process/test-config.c
@@ -110,7 +110,7 @@
     pt_start_instance (&test_cluster, names[i], "hall-a");
   for (size_t i = 0; i < n; i++)
     {
-      pt_wait_until_ready (&test_cluster, &test_cluster.instances[i]);
+      pt_wait_until_instance_ready (&test_cluster, &test_cluster.instances[i]);
       pt_wait_until (&test_cluster, "the instance reports all instances as alive",
                      sees_all_instances_alive, &test_cluster.instances[i]);
     }
@@ -124,7 +124,7 @@
 {
   SiResponse response;
 
-  pt_apply_change (&test_cluster, instance, changes, if_match, &response);
+  pt_post_resource_changes (&test_cluster, instance, changes, if_match, &response);
   int status_code = response.status;
   lb_strlcpy (error, si_response_get_error_type (&response), LB_NAME_MAX);
   si_response_clear (&response);
@@ -222,7 +222,7 @@
                test_cluster.instances[i].name);
 
   pt_restart_instance (&test_cluster, &test_cluster.instances[2]);
-  pt_wait_until_ready (&test_cluster, &test_cluster.instances[2]);
+  pt_wait_until_instance_ready (&test_cluster, &test_cluster.instances[2]);
   cr_assert_eq (read_active_revision (&test_cluster.instances[2]), 2);
   pt_inject_fault (&test_cluster, &test_cluster.platform, "{\"mode\": \"none\"}");
 }
@@ -237,8 +237,8 @@
   PtProgram *last = &test_cluster.instances[2];
   const SiCheckedCallSpec spec
       = { .address = last->address, .model = "reader", .prompt = "an envelope", .max_tokens = 4 };
-  pt_apply_resources (&test_cluster, &test_cluster.instances[0]);
-  pt_wait_until_revision_in_force (&test_cluster);
+  pt_configure_cluster (&test_cluster, &test_cluster.instances[0]);
+  pt_wait_until_instances_have_same_revision (&test_cluster);
   pt_inject_fault (&test_cluster, &test_cluster.platform, "{\"mode\": \"down\"}");
   pt_process_clear (&test_cluster.instances[0].process);
   pt_process_clear (&test_cluster.instances[1].process);
@@ -246,7 +246,7 @@
   cr_assert_eq (pt_run_checked_call (&test_cluster, &spec).outcome, SI_CALL_NOT_RUN);
   cr_assert_eq (pt_count_call_runs (&test_cluster, engine, spec.prompt), 0);
   pt_inject_fault (&test_cluster, &test_cluster.platform, "{\"mode\": \"none\"}");
-  pt_wait_until_ready (&test_cluster, last);
+  pt_wait_until_instance_ready (&test_cluster, last);
   cr_assert_eq (pt_run_checked_call (&test_cluster, &spec).outcome, SI_CALL_COMPLETE);
 }
 
@@ -343,7 +343,7 @@
   pt_start_engine (&test_cluster, "engine-2", fenced_options);
   pt_start_engine (&test_cluster, "engine-3", fenced_options);
   pt_start_engine (&test_cluster, "engine-4", unfenced_options);
-  pt_apply_resources (&test_cluster, &test_cluster.instances[0]);
+  pt_configure_cluster (&test_cluster, &test_cluster.instances[0]);
   *search = (LeaseHolderSearch){ .excluded = NULL };
   pt_wait_until (&test_cluster, "an instance holds the lease", find_lease_holder, search);
   return search->found;
@@ -372,7 +372,7 @@
                  have_all_engines_weight_version, &version);
 
   pt_process_signal (&paused->process, SIGCONT);
-  pt_wait_until_ready (&test_cluster, paused);
+  pt_wait_until_instance_ready (&test_cluster, paused);
   si_client_pause (&test_cluster.client, LB_SEC);
   cr_assert_eq (read_instance_metric (paused, "lentilspindle_weight_orders_total "), orders);
   cr_assert (have_all_engines_weight_version (&test_cluster, &version));
@@ -429,7 +429,7 @@
   PtProgram *holder = start_instances_and_engines (&search);
   int64_t fence = search.fence;
   pt_process_signal (&holder->process, SIGTERM);
-  pt_wait_for_exit (&test_cluster, &holder->process, 0);
+  pt_wait_for_exit_with_code (&test_cluster, &holder->process, 0);
   search.excluded = holder;
   pt_wait_until (&test_cluster, "another instance holds the lease", find_lease_holder, &search);
   cr_assert_eq (search.fence, fence + 1);
--- a/tests/process/test-crashing-services.c
+++ b/tests/process/test-crashing-services.c
@@ -27,9 +27,9 @@
     pt_start_service (cluster, names[i], options);
   pt_start_instance (cluster, "i1", "hall-a");
   pt_start_instance (cluster, "i2", "hall-b");
-  pt_apply_resources (cluster, &cluster->instances[0]);
+  pt_configure_cluster (cluster, &cluster->instances[0]);
   for (size_t i = 0; i < cluster->n_instances; i++)
-    pt_wait_until_ready (cluster, &cluster->instances[i]);
+    pt_wait_until_instance_ready (cluster, &cluster->instances[i]);
 }
 
 static SiCheckedCallResult
@@ -112,7 +112,7 @@
       cr_assert_gt (result.retry_after, 0);
     }
   assert_harmless_calls_are_served (&cluster);
-  pt_drain_instances (&cluster);
+  pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
 
@@ -131,11 +131,11 @@
   for (size_t i = 0; i < cluster.n_instances; i++)
     {
       pt_restart_instance (&cluster, &cluster.instances[i]);
-      pt_wait_until_ready (&cluster, &cluster.instances[i]);
+      pt_wait_until_instance_ready (&cluster, &cluster.instances[i]);
     }
   for (size_t i = 0; i < cluster.n_instances; i++)
     pt_wait_until (&cluster, "the fatal call is quarantined", is_fatal_call_quarantined, &i);
   assert_harmless_calls_are_served (&cluster);
-  pt_drain_instances (&cluster);
+  pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-crashing.c
+++ b/tests/process/test-crashing.c
@@ -82,7 +82,7 @@
   LbTime end = lb_clock_monotonic () + duration;
 
   while (lb_clock_monotonic () < end)
-    ps_run_loop_once (&fixture->cluster);
+    ps_run_event_loop_once (&fixture->cluster);
 }
 
 /* Sends a call with an unused id and waits for the response, which is then in fixture->cluster. */
@@ -92,7 +92,7 @@
   char id[32];
 
   snprintf (id, sizeof id, "c%d", fixture->n_calls_sent++);
-  ps_call (&fixture->cluster, instance, "POST", path, id, body);
+  ps_call_and_wait (&fixture->cluster, instance, "POST", path, id, body);
 }
 
 static bool
@@ -237,7 +237,7 @@
   fixture_init (&fixture);
   fixture.cluster.store.mode = SI_ROW_STORE_UNAVAILABLE;
   PS_WAIT_UNTIL (&fixture.cluster,
-                 (ps_call (&fixture.cluster, 0, "POST", "/lookup/7", "c", FATAL_BODY),
+                 (ps_call_and_wait (&fixture.cluster, 0, "POST", "/lookup/7", "c", FATAL_BODY),
                   count_lookup_crashes (&fixture) >= 3));
   fixture.cluster.store.mode = SI_ROW_STORE_NORMAL;
   run_event_loop_for (&fixture, CRASH_PROPAGATION_TIME);
@@ -260,7 +260,8 @@
   struct json_object *fatal = is_scorer_fatal ? lb_json_member (item, "scorer") : item;
 
   json_object_object_add (fatal, "body", json_object_new_string (FATAL_BODY_BASE64));
-  ps_call (&fixture->cluster, 0, "POST", "/steps/1", "b1", json_object_to_json_string (batch));
+  ps_call_and_wait (&fixture->cluster, 0, "POST", "/steps/1", "b1",
+                    json_object_to_json_string (batch));
   cr_assert_eq (fixture->cluster.response_status, 202);
   json_object_put (batch);
   free (text);
@@ -280,10 +281,10 @@
   run_event_loop_for (&fixture, BATCH_OBSERVATION_TIME);
   cr_assert_leq (count_fatal_engine_runs (&fixture) - runs_before, MAX_RUNS_AFTER_PROPAGATION);
   PS_WAIT_UNTIL (&fixture.cluster,
-                 ps_count_listed_results (&fixture.cluster, 1, "b1") == N_BATCH_ITEMS - 1);
+                 ps_count_results_on_first_page (&fixture.cluster, 1, "b1") == N_BATCH_ITEMS - 1);
   ps_submit_batch (&fixture.cluster, 1, "b2", N_BATCH_ITEMS);
   PS_WAIT_UNTIL (&fixture.cluster,
-                 ps_count_listed_results (&fixture.cluster, 2, "b2") == N_BATCH_ITEMS);
+                 ps_count_results_on_first_page (&fixture.cluster, 2, "b2") == N_BATCH_ITEMS);
   fixture_clear (&fixture);
 }
 
@@ -301,6 +302,6 @@
   run_event_loop_for (&fixture, BATCH_OBSERVATION_TIME);
   cr_assert_leq (count_fatal_lookup_runs (&fixture) - runs_before, MAX_RUNS_AFTER_PROPAGATION);
   PS_WAIT_UNTIL (&fixture.cluster,
-                 ps_count_listed_results (&fixture.cluster, 1, "b1") == N_BATCH_ITEMS - 1);
+                 ps_count_results_on_first_page (&fixture.cluster, 1, "b1") == N_BATCH_ITEMS - 1);
   fixture_clear (&fixture);
 }
--- a/tests/process/test-drain.c
+++ b/tests/process/test-drain.c
@@ -29,7 +29,7 @@
 static bool
 has_engine_started_a_call (PtCluster *cluster, void *user)
 {
-  return pt_read_log_counter (cluster, user, "started") > 0;
+  return pt_read_standin_log_counter (cluster, user, "started") > 0;
 }
 
 static bool
@@ -51,8 +51,8 @@
   cluster.has_memory_platform = true;
   PtProgram *engine = pt_start_engine (&cluster, "engine-1", slow_options);
   PtProgram *instance = pt_start_instance (&cluster, "i1", "hall-a");
-  pt_apply_resources (&cluster, instance);
-  pt_wait_until_ready (&cluster, instance);
+  pt_configure_cluster (&cluster, instance);
+  pt_wait_until_instance_ready (&cluster, instance);
   SiCheckedCallSpec spec = { .address = instance->address,
                              .model = "reader",
                              .prompt = "a long envelope",
@@ -73,7 +73,7 @@
   pt_wait_until (&cluster, "the stream ends", is_call_done, &pending_call);
   cr_assert_eq (pending_call.result.outcome, SI_CALL_COMPLETE, "stream ended with outcome %d: %s",
                 pending_call.result.outcome, pending_call.result.error);
-  pt_wait_for_exit (&cluster, &instance->process, 0);
+  pt_wait_for_exit_with_code (&cluster, &instance->process, 0);
   pt_cluster_clear (&cluster);
 }
 
@@ -110,9 +110,9 @@
   PtProgram *engine = pt_start_engine (&cluster, "engine-1", slow_options);
   PtProgram *draining = pt_start_instance (&cluster, "i1", "hall-a");
   PtProgram *owner = pt_start_instance (&cluster, "i2", "hall-b");
-  pt_apply_resources (&cluster, draining);
-  pt_wait_until_ready (&cluster, draining);
-  pt_wait_until_ready (&cluster, owner);
+  pt_configure_cluster (&cluster, draining);
+  pt_wait_until_instance_ready (&cluster, draining);
+  pt_wait_until_instance_ready (&cluster, owner);
   json_object_put (si_client_call_json (
       &cluster.client, owner->address, "/v1/subscriptions/reader-trainer/steps",
       "{\"step\": 1, \"weight_version\": 1, \"groups\": [{\"id\": \"g0\", \"prompt\": \"p\", "
@@ -131,8 +131,8 @@
   pt_wait_until (&cluster, "the draining instance rejects the pull", is_pull_rejected, draining);
   pt_wait_until (&cluster, "the stream ends", is_call_done, &pending_call);
   cr_assert_eq (pending_call.result.outcome, SI_CALL_COMPLETE);
-  pt_wait_for_exit (&cluster, &draining->process, 0);
-  pt_drain_instances (&cluster);
+  pt_wait_for_exit_with_code (&cluster, &draining->process, 0);
+  pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
 
@@ -149,10 +149,10 @@
   pt_start_engine (&cluster, "engine-1", engine_options);
   pt_start_instance (&cluster, "i1", "hall-a");
   pt_start_instance (&cluster, "i2", "hall-b");
-  pt_apply_resources (&cluster, &cluster.instances[0]);
-  pt_wait_until_ready (&cluster, &cluster.instances[0]);
-  pt_wait_until_ready (&cluster, &cluster.instances[1]);
+  pt_configure_cluster (&cluster, &cluster.instances[0]);
+  pt_wait_until_instance_ready (&cluster, &cluster.instances[0]);
+  pt_wait_until_instance_ready (&cluster, &cluster.instances[1]);
   pt_inject_fault (&cluster, &cluster.platform, "{\"mode\": \"hang\"}");
-  pt_drain_instances (&cluster);
+  pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-duties.c
+++ b/tests/process/test-duties.c
@@ -37,7 +37,7 @@
   for (int i = 0; i < n; i++)
     {
       snprintf (id, sizeof id, "c%d", ++n_sent);
-      ps_call (cluster, instance, "POST", "/lookup/1", id, "");
+      ps_call_and_wait (cluster, instance, "POST", "/lookup/1", id, "");
       cr_assert_eq (cluster->response_status, 200);
     }
 }
@@ -116,7 +116,7 @@
   send_calls_with_key (&cluster, killed, "post-1", 4);
   PS_WAIT_UNTIL (&cluster, si_row_store_count_rows (&cluster.store, "usage") > 0);
   for (LbTime wait_end = lb_clock_monotonic () + 300 * LB_MSEC; lb_clock_monotonic () < wait_end;)
-    ps_run_loop_once (&cluster);
+    ps_run_event_loop_once (&cluster);
   pt_process_signal (&cluster.instances[killed].process, SIGKILL);
   send_calls_with_key (&cluster, 1 - killed, "mill-1", 2);
   PS_WAIT_UNTIL (&cluster, is_reported_usage_equal (&cluster, 4, 2));
--- a/tests/process/test-endpoints.c
+++ b/tests/process/test-endpoints.c
@@ -12,15 +12,15 @@
 static bool
 has_engine_generated_tokens (PtCluster *cluster, void *user)
 {
-  return pt_read_log_counter (cluster, user, "tokens") > 0;
+  return pt_read_standin_log_counter (cluster, user, "tokens") > 0;
 }
 
 /* Returns the number of calls that the endpoint received, accepted or refused. */
 static int64_t
 count_received_calls (PtCluster *cluster, PtProgram *endpoint)
 {
-  return pt_read_log_counter (cluster, endpoint, "started")
-         + pt_read_log_counter (cluster, endpoint, "refused");
+  return pt_read_standin_log_counter (cluster, endpoint, "started")
+         + pt_read_standin_log_counter (cluster, endpoint, "refused");
 }
 
 /* Sends calls to two engines, and start_leaving makes one of them leave. That engine must get no
@@ -40,8 +40,8 @@
   PtProgram *leaving = pt_start_engine (cluster, "engine-1", slow_options);
   pt_start_engine (cluster, "engine-2", slow_options);
   PtProgram *instance = pt_start_instance (cluster, "i1", "hall-a");
-  pt_apply_resources (cluster, instance);
-  pt_wait_until_ready (cluster, instance);
+  pt_configure_cluster (cluster, instance);
+  pt_wait_until_instance_ready (cluster, instance);
   pt_start_load_generator (cluster, &load, load_options);
   pt_wait_until (cluster, "the leaving engine has generated tokens", has_engine_generated_tokens,
                  leaving);
@@ -49,9 +49,9 @@
   start_leaving (cluster, leaving);
   si_client_pause (&cluster->client, LEAVE_PROPAGATION_TIME);
   int64_t calls_after_timeout = count_received_calls (cluster, leaving);
-  struct json_object *summary = pt_wait_for_summary (cluster, &load);
+  struct json_object *summary = pt_wait_for_client_summary (cluster, &load);
   cr_assert_eq (count_received_calls (cluster, leaving), calls_after_timeout);
-  cr_assert_eq (pt_read_log_counter (cluster, leaving, "cancelled"), 0);
+  cr_assert_eq (pt_read_standin_log_counter (cluster, leaving, "cancelled"), 0);
   cr_assert (pt_process_has_exited (&load, 0), "load generator failed: %s",
              json_object_to_json_string (summary));
   cr_assert_gt (si_json_get_int (summary, "whole", 0), 100);
@@ -76,7 +76,7 @@
             " \"pool\": \"reader\", \"address\": \"%s\", \"data_centre\": \"hall-a\","
             " \"concurrency\": 32, \"checks_fence\": true, \"leaving\": true}]}",
             engine->name, engine->address);
-  pt_apply_change (cluster, &cluster->instances[0], changes, "*", &response);
+  pt_post_resource_changes (cluster, &cluster->instances[0], changes, "*", &response);
   cr_assert (si_response_is_ok (&response), "change rejected: %s", response.body);
   si_response_clear (&response);
 }
@@ -90,7 +90,7 @@
 
   pt_cluster_init (&cluster);
   check_leaving_engine_under_load (&cluster, make_engine_announce_leaving);
-  pt_drain_instances (&cluster);
+  pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
 
@@ -102,7 +102,7 @@
 
   pt_cluster_init (&cluster);
   check_leaving_engine_under_load (&cluster, mark_engine_as_leaving);
-  pt_drain_instances (&cluster);
+  pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
 
@@ -144,23 +144,23 @@
   PtProgram *crashing = pt_start_engine (&cluster, "engine-1", slow_options);
   PtProgram *healthy = pt_start_engine (&cluster, "engine-2", slow_options);
   PtProgram *instance = pt_start_instance (&cluster, "i1", "hall-a");
-  pt_apply_resources (&cluster, instance);
-  pt_wait_until_ready (&cluster, instance);
+  pt_configure_cluster (&cluster, instance);
+  pt_wait_until_instance_ready (&cluster, instance);
   pt_start_load_generator (&cluster, &load, load_options);
   pt_wait_until (&cluster, "the crashing engine has generated tokens", has_engine_generated_tokens,
                  crashing);
   pt_process_signal (&crashing->process, SIGKILL);
 
-  struct json_object *summary = pt_wait_for_summary (&cluster, &load);
+  struct json_object *summary = pt_wait_for_client_summary (&cluster, &load);
   cr_assert (pt_process_has_exited (&load, 0), "load generator failed: %s",
              json_object_to_json_string (summary));
   cr_assert_gt (si_json_get_int (summary, "whole", 0), 20);
   assert_not_run_calls_never_started (&cluster, summary, healthy, NULL);
-  cr_assert_gt (pt_read_log_counter (&cluster, healthy, "resumed"), 0);
-  cr_assert_eq (pt_read_log_counter (&cluster, healthy, "resume_mismatches"), 0);
+  cr_assert_gt (pt_read_standin_log_counter (&cluster, healthy, "resumed"), 0);
+  cr_assert_eq (pt_read_standin_log_counter (&cluster, healthy, "resume_mismatches"), 0);
   json_object_put (summary);
   pt_process_clear (&load);
-  pt_drain_instances (&cluster);
+  pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
 
@@ -180,19 +180,19 @@
   PtProgram *breaking = pt_start_engine (&cluster, "engine-1", fast_options);
   PtProgram *refusing = pt_start_engine (&cluster, "engine-2", fast_options);
   PtProgram *instance = pt_start_instance (&cluster, "i1", "hall-a");
-  pt_apply_resources (&cluster, instance);
-  pt_wait_until_ready (&cluster, instance);
+  pt_configure_cluster (&cluster, instance);
+  pt_wait_until_instance_ready (&cluster, instance);
   pt_inject_fault (&cluster, breaking, "{\"mode\": \"break\", \"count\": 6, \"tokens\": 5}");
   pt_inject_fault (&cluster, refusing, "{\"mode\": \"refuse\", \"count\": 4}");
   pt_start_load_generator (&cluster, &load, load_options);
 
-  struct json_object *summary = pt_wait_for_summary (&cluster, &load);
+  struct json_object *summary = pt_wait_for_client_summary (&cluster, &load);
   cr_assert (pt_process_has_exited (&load, 0), "load generator failed: %s",
              json_object_to_json_string (summary));
   cr_assert_gt (si_json_get_int (summary, "whole", 0), 30);
   assert_not_run_calls_never_started (&cluster, summary, breaking, refusing);
   json_object_put (summary);
   pt_process_clear (&load);
-  pt_drain_instances (&cluster);
+  pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-membership.c
+++ b/tests/process/test-membership.c
@@ -159,6 +159,6 @@
   EntryQuery own_query = { instances[1], "i2", 0 };
   if (!instances[1]->process.ended)
     cr_assert_not (find_instance_in_entry_addresses (&cluster, &own_query));
-  pt_wait_for_exit (&cluster, &instances[1]->process, 0);
+  pt_wait_for_exit_with_code (&cluster, &instances[1]->process, 0);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-once.c
+++ b/tests/process/test-once.c
@@ -41,9 +41,9 @@
   pt_start_instance (cluster, "i1", "hall-a");
   pt_start_instance (cluster, "i2", "hall-b");
   pt_start_instance (cluster, "i3", "hall-c");
-  pt_apply_resources (cluster, &cluster->instances[0]);
+  pt_configure_cluster (cluster, &cluster->instances[0]);
   for (size_t i = 0; i < cluster->n_instances; i++)
-    pt_wait_until_ready (cluster, &cluster->instances[i]);
+    pt_wait_until_instance_ready (cluster, &cluster->instances[i]);
 }
 
 static int64_t
@@ -121,7 +121,7 @@
   spec.ticket = ticket;
   check_no_rerun_after_kill (&cluster, &spec);
   free (ticket);
-  pt_drain_instances (&cluster);
+  pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
 
@@ -135,7 +135,7 @@
   SiCheckedCallSpec spec = make_order_call_spec (&cluster.instances[0], "order-2");
   spec.idempotency_key = "key-2";
   check_no_rerun_after_kill (&cluster, &spec);
-  pt_drain_instances (&cluster);
+  pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
 
@@ -164,6 +164,6 @@
                 third.error);
   cr_assert_eq (count_order_runs (&cluster, "order-3"), 1);
   free (ticket);
-  pt_drain_instances (&cluster);
+  pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-operator.c
+++ b/tests/process/test-operator.c
@@ -21,7 +21,7 @@
   pt_cluster_init (&test_cluster);
   test_cluster.has_memory_platform = true;
   instance = pt_start_instance (&test_cluster, "i1", "hall-a");
-  pt_wait_until_ready (&test_cluster, instance);
+  pt_wait_until_instance_ready (&test_cluster, instance);
 }
 
 static void
--- a/tests/process/test-organisations.c
+++ b/tests/process/test-organisations.c
@@ -43,7 +43,7 @@
 call_and_get_status (
     PsCluster *cluster, size_t instance, const char *method, const char *path, const char *id)
 {
-  ps_call (cluster, instance, method, path, id, "");
+  ps_call_and_wait (cluster, instance, method, path, id, "");
   return cluster->response_status;
 }
 
@@ -66,7 +66,8 @@
                 "expected status 200 without a key on a public route");
   cr_assert_str_eq (cluster.lookup.organisation, "", "expected no organisation on a public route");
   cr_assert_eq (cluster.lookup.leaked_keys, 0);
-  cr_assert_eq (ps_count_in_log (&cluster, instance, "post-1"), 0, "the log contains an API key");
+  cr_assert_eq (ps_count_text_in_log (&cluster, instance, "post-1"), 0,
+                "the log contains an API key");
   ps_cluster_clear (&cluster);
 }
 
@@ -169,8 +170,8 @@
                 401);
   cr_assert_eq (read_with_key_and_get_status (&cluster, instance, "post-2", "/-/items/b1?id=item1"),
                 200);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, instance, "b1") == 4);
-  ps_assert_all_results_listed (&cluster, instance, "b1", 4);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, instance, "b1") == 4);
+  ps_assert_each_item_has_one_result (&cluster, instance, "b1", 4);
   cluster.api_key = "mill-1";
   cr_assert_eq (call_and_get_status (&cluster, instance, "DELETE", "/-/lots/b1", ""), 404);
   cluster.api_key = "post-2";
@@ -197,10 +198,10 @@
   cluster.api_key = "mill-1";
   ps_submit_batch (&cluster, instance, "same", 3);
   cr_assert_eq (cluster.response_status, 202);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, instance, "same") == 3);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, instance, "same") == 3);
   cluster.api_key = "post-1";
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, instance, "same") == 2);
-  ps_assert_all_results_listed (&cluster, instance, "same", 2);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, instance, "same") == 2);
+  ps_assert_each_item_has_one_result (&cluster, instance, "same", 2);
   ps_cluster_clear (&cluster);
 }
 
@@ -220,15 +221,15 @@
   ps_submit_batch (&cluster, instance, "b1", 6);
   cr_assert_eq (cluster.response_status, 202);
   PS_WAIT_UNTIL (&cluster, (owner = ps_find_batch_owner (&cluster)) < cluster.n_instances);
-  PS_WAIT_UNTIL (&cluster, ps_count_engine_runs (&cluster) > 0);
+  PS_WAIT_UNTIL (&cluster, ps_count_started_sample_streams (&cluster) > 0);
   revoke_api_key_post_1 (&cluster);
   pt_process_signal (&cluster.instances[owner].process, SIGKILL);
   for (int i = 0; i < PS_N_ENGINES; i++)
     LB_COPY (cluster.engines[i].organisation, "");
   size_t survivor = 1 - owner;
   cluster.api_key = "post-2";
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, survivor, "b1") == 6);
-  ps_assert_all_results_listed (&cluster, survivor, "b1", 6);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, survivor, "b1") == 6);
+  ps_assert_each_item_has_one_result (&cluster, survivor, "b1", 6);
   for (int i = 0; i < PS_N_ENGINES; i++)
     n_identified += strcmp (cluster.engines[i].organisation, "post") == 0;
   cr_assert_gt (n_identified, 0);
--- a/tests/process/test-rolling.c
+++ b/tests/process/test-rolling.c
@@ -10,8 +10,8 @@
 {
   const int64_t *min_finished = user;
 
-  return pt_read_log_counter (cluster, &cluster->endpoints[0], "finished")
-             + pt_read_log_counter (cluster, &cluster->endpoints[1], "finished")
+  return pt_read_standin_log_counter (cluster, &cluster->endpoints[0], "finished")
+             + pt_read_standin_log_counter (cluster, &cluster->endpoints[1], "finished")
          >= *min_finished;
 }
 
@@ -50,9 +50,9 @@
   pt_start_instance (&cluster, "i1", "hall-a");
   pt_start_instance (&cluster, "i2", "hall-b");
   pt_start_instance (&cluster, "i3", "hall-c");
-  pt_apply_resources (&cluster, &cluster.instances[0]);
+  pt_configure_cluster (&cluster, &cluster.instances[0]);
   for (size_t i = 0; i < cluster.n_instances; i++)
-    pt_wait_until_ready (&cluster, &cluster.instances[i]);
+    pt_wait_until_instance_ready (&cluster, &cluster.instances[i]);
   pt_start_load_generator (&cluster, &load, load_options);
   for (size_t i = 0; i < cluster.n_instances; i++)
     {
@@ -60,19 +60,19 @@
       pt_wait_until (&cluster, "the engines have finished enough calls for the next restart",
                      have_engines_finished_calls, &min_finished);
       pt_process_signal (&cluster.instances[i].process, SIGTERM);
-      pt_wait_for_exit (&cluster, &cluster.instances[i].process, 0);
+      pt_wait_for_exit_with_code (&cluster, &cluster.instances[i].process, 0);
       pt_restart_instance (&cluster, &cluster.instances[i]);
-      pt_wait_until_ready (&cluster, &cluster.instances[i]);
+      pt_wait_until_instance_ready (&cluster, &cluster.instances[i]);
     }
 
-  struct json_object *summary = pt_wait_for_summary (&cluster, &load);
+  struct json_object *summary = pt_wait_for_client_summary (&cluster, &load);
   cr_assert (pt_process_has_exited (&load, 0), "load generator failed: %s (logs in %s)",
              json_object_to_json_string (summary), cluster.folder);
-  cr_assert_eq (pt_read_log_counter (&cluster, &cluster.endpoints[0], "cancelled")
-                    + pt_read_log_counter (&cluster, &cluster.endpoints[1], "cancelled"),
+  cr_assert_eq (pt_read_standin_log_counter (&cluster, &cluster.endpoints[0], "cancelled")
+                    + pt_read_standin_log_counter (&cluster, &cluster.endpoints[1], "cancelled"),
                 0);
   json_object_put (summary);
   pt_process_clear (&load);
-  pt_drain_instances (&cluster);
+  pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-shared.c
+++ b/tests/process/test-shared.c
@@ -18,27 +18,27 @@
 
   ps_cluster_init (&cluster);
   size_t instance = ps_start_instance (&cluster);
-  ps_call (&cluster, instance, "POST", "/lookup/1?q=2", "c1", "hello");
+  ps_call_and_wait (&cluster, instance, "POST", "/lookup/1?q=2", "c1", "hello");
   cr_assert_eq (cluster.response_status, 200);
   cr_assert_str_eq (cluster.response_body, "answer to c1");
   cr_assert_str_eq (cluster.server_stamp, "stamp-c1");
-  ps_call (&cluster, instance, "GET", "/nowhere/", "c2", "");
+  ps_call_and_wait (&cluster, instance, "GET", "/nowhere/", "c2", "");
   cr_assert_eq (cluster.response_status, 404);
   ps_submit_batch (&cluster, instance, "b1", 12);
   cr_assert_eq (cluster.response_status, 202);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, instance, "b1") == 12);
-  ps_assert_all_results_listed (&cluster, instance, "b1", 12);
-  ps_call (&cluster, instance, "GET", "/-/items/b1?id=item3", "", "");
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, instance, "b1") == 12);
+  ps_assert_each_item_has_one_result (&cluster, instance, "b1", 12);
+  ps_call_and_wait (&cluster, instance, "GET", "/-/items/b1?id=item3", "", "");
   cr_assert_eq (cluster.response_status, 200);
   cr_assert_str_eq (cluster.response_body, "ABC");
-  ps_call (&cluster, instance, "DELETE", "/-/lots/b1", "", "");
+  ps_call_and_wait (&cluster, instance, "DELETE", "/-/lots/b1", "", "");
   cr_assert_eq (cluster.response_status, 200);
-  ps_call (&cluster, instance, "DELETE", "/-/lots/b1", "", "");
+  ps_call_and_wait (&cluster, instance, "DELETE", "/-/lots/b1", "", "");
   cr_assert_eq (cluster.response_status, 200,
                 "expected status 200 for the second DELETE of a batch");
-  ps_call (&cluster, instance, "GET", "/-/lots/unknown?after=0", "", "");
+  ps_call_and_wait (&cluster, instance, "GET", "/-/lots/unknown?after=0", "", "");
   cr_assert_eq (cluster.response_status, 404);
-  ps_call (&cluster, instance, "GET", "/-/resolve?name=h.example", "", "");
+  ps_call_and_wait (&cluster, instance, "GET", "/-/resolve?name=h.example", "", "");
   cr_assert (strstr (cluster.response_body, cluster.instances[instance].address));
   ps_cluster_clear (&cluster);
 }
@@ -57,8 +57,8 @@
   for (int i = 0; i < PS_N_ENGINES; i++)
     cr_assert_eq (cluster.engines[i].accepted_orders, 1);
   ps_submit_batch (&cluster, instance, "b1", 1);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, instance, "b1") == 1);
-  struct json_object *page = ps_read_results (&cluster, instance, "b1");
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, instance, "b1") == 1);
+  struct json_object *page = ps_read_first_results_page (&cluster, instance, "b1");
   struct json_object *result = json_object_array_get_idx (lb_json_member (page, "results"), 0);
   cr_assert_str_eq (json_object_to_json_string_ext (lb_json_member (result, "versions"),
                                                     JSON_C_TO_STRING_PLAIN),
@@ -166,10 +166,10 @@
 
   for (size_t i = 0; i < cluster->n_instances; i++)
     {
-      ps_call (cluster, i, "POST", "/lookup/1", "c1", "hello");
+      ps_call_and_wait (cluster, i, "POST", "/lookup/1", "c1", "hello");
       cr_assert_eq (cluster->response_status, 200);
       if (i != publisher)
-        n_found += ps_count_in_log (cluster, i, text);
+        n_found += ps_count_text_in_log (cluster, i, text);
     }
   free (text);
   return n_found > 0;
@@ -194,13 +194,13 @@
   PS_WAIT_UNTIL (&cluster, has_decision_from_published_list (&cluster, publisher));
   put_endpoint_row (&cluster, 7, "draining");
   for (size_t i = 0; i < 3; i++)
-    PS_WAIT_UNTIL (&cluster, ps_count_in_log (&cluster, i, "endpoint_lists_leaving") == 1);
+    PS_WAIT_UNTIL (&cluster, ps_count_text_in_log (&cluster, i, "endpoint_lists_leaving") == 1);
   pt_process_signal (&cluster.instances[publisher].process, SIGKILL);
   PS_WAIT_UNTIL (&cluster, find_catalog_publisher (&cluster, publisher) < cluster.n_instances);
   put_endpoint_row (&cluster, 8, "draining");
   for (size_t i = 0; i < 3; i++)
     if (i != publisher)
-      PS_WAIT_UNTIL (&cluster, ps_count_in_log (&cluster, i, "endpoint_lists_leaving") == 2);
+      PS_WAIT_UNTIL (&cluster, ps_count_text_in_log (&cluster, i, "endpoint_lists_leaving") == 2);
   ps_cluster_clear (&cluster);
 }
 
@@ -228,13 +228,14 @@
     {
       char id[16];
       snprintf (id, sizeof id, "c%d", i);
-      ps_call (&cluster, instance, "GET", "/lookup/x", id, "");
+      ps_call_and_wait (&cluster, instance, "GET", "/lookup/x", id, "");
       cr_assert_eq (cluster.response_status, 200);
     }
   wait_end = lb_clock_monotonic () + 2 * LB_SEC;
   PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () > wait_end);
-  cr_assert_eq (ps_count_in_log (&cluster, instance, "endpoint_unreadable"), 3);
-  cr_assert_eq (ps_count_in_log (&cluster, instance, "weights_order\",\"endpoint\":\"i-stray"), 0);
+  cr_assert_eq (ps_count_text_in_log (&cluster, instance, "endpoint_unreadable"), 3);
+  cr_assert_eq (ps_count_text_in_log (&cluster, instance, "weights_order\",\"endpoint\":\"i-stray"),
+                0);
   ps_cluster_clear (&cluster);
 }
 
@@ -251,14 +252,14 @@
   LbTime end = lb_clock_monotonic () + LB_SEC;
   while (lb_clock_monotonic () < end)
     {
-      ps_call (&cluster, 1, "POST", "/lookup/1", "c1", "hello");
+      ps_call_and_wait (&cluster, 1, "POST", "/lookup/1", "c1", "hello");
       cr_assert_eq (cluster.response_status, 503, "expected status 503, got body: %s",
                     cluster.response_body);
       cr_assert_neq (cluster.retry_after[0], '\0');
     }
   cluster.store.unavailable_table = NULL;
   PS_WAIT_UNTIL (&cluster, ps_is_instance_ready (&cluster, 1));
-  ps_call (&cluster, 1, "POST", "/lookup/1", "c2", "hello");
+  ps_call_and_wait (&cluster, 1, "POST", "/lookup/1", "c2", "hello");
   cr_assert_eq (cluster.response_status, 200);
   ps_cluster_clear (&cluster);
 }
@@ -275,7 +276,7 @@
   body[length] = '\0';
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
-  ps_call (&cluster, 0, "GET", "/lookup/1", "c1", body);
+  ps_call_and_wait (&cluster, 0, "GET", "/lookup/1", "c1", body);
   cr_assert_eq (cluster.response_status, 200, "expected status 200, got %d: %s",
                 cluster.response_status, cluster.response_body);
   free (body);
@@ -295,7 +296,7 @@
       " \"kind\": \"safe\", \"timeoutMs\": 20000, \"service\": \"lookups\","
       " \"attempts\": 3}");
   ps_start_instance (&cluster);
-  ps_call (&cluster, 0, "GET", "/metrics", "c1", "");
+  ps_call_and_wait (&cluster, 0, "GET", "/metrics", "c1", "");
   cr_assert_eq (cluster.response_status, 200);
   cr_assert_null (strstr (cluster.response_body, "lentilspindle_requests_total"),
                   "expected the service's response, got: %s", cluster.response_body);
@@ -321,8 +322,8 @@
   ps_start_instance (&cluster);
   ps_submit_batch (&cluster, 0, "b1", 40);
   cr_assert_eq (cluster.response_status, 202);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") >= 5);
-  struct json_object *page_before = ps_read_results (&cluster, 1, "b1");
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 0, "b1") >= 5);
+  struct json_object *page_before = ps_read_first_results_page (&cluster, 1, "b1");
   /* The row of the batch must be in one of the 16 partitions of table "head". */
   const char *batch_row = NULL;
   for (int part = 0; part < 16 && !batch_row; part++)
@@ -340,9 +341,9 @@
         survivor = 1 - i;
     }
   pt_process_signal (&cluster.instances[1 - survivor].process, SIGKILL);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, survivor, "b1") == 40);
-  ps_assert_all_results_listed (&cluster, survivor, "b1", 40);
-  struct json_object *page_after = ps_read_results (&cluster, survivor, "b1");
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, survivor, "b1") == 40);
+  ps_assert_each_item_has_one_result (&cluster, survivor, "b1", 40);
+  struct json_object *page_after = ps_read_first_results_page (&cluster, survivor, "b1");
   struct json_object *results_before = lb_json_member (page_before, "results");
   for (size_t i = 0; i < json_object_array_length (results_before); i++)
     cr_assert_str_eq (json_object_to_json_string (json_object_array_get_idx (results_before, i)),
@@ -369,9 +370,9 @@
   PS_WAIT_UNTIL (&cluster, cluster.n_responses == responses_before + 2);
   cr_assert_eq (cluster.response_status, 202);
   cr_assert_eq (si_row_store_count_rows (&cluster.store, "head"), 1);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 6);
-  ps_assert_all_results_listed (&cluster, 1, "b1", 6);
-  cr_assert_eq (ps_count_engine_runs (&cluster), 6);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 0, "b1") == 6);
+  ps_assert_each_item_has_one_result (&cluster, 1, "b1", 6);
+  cr_assert_eq (ps_count_started_sample_streams (&cluster), 6);
   free (body);
   ps_cluster_clear (&cluster);
 }
@@ -391,16 +392,16 @@
   ps_start_instance (&cluster);
   ps_submit_batch (&cluster, 0, "b1", 4);
   PS_WAIT_UNTIL (&cluster, (owner = ps_find_batch_owner (&cluster)) < 2);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 4);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 0, "b1") == 4);
   cluster.store.delayed_server = ps_get_store_server (&cluster, 1 - owner);
   /* Waits until the watches that started before the delay was set have ended. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
   PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () >= end);
-  size_t runs_before = ps_count_engine_runs (&cluster);
+  size_t runs_before = ps_count_started_sample_streams (&cluster);
   ps_submit_batch (&cluster, 1 - owner, "b2", 6);
   cr_assert_eq (cluster.response_status, 202);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, owner, "b2") == 6);
-  cr_assert_eq (ps_count_engine_runs (&cluster) - runs_before, 6);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, owner, "b2") == 6);
+  cr_assert_eq (ps_count_started_sample_streams (&cluster) - runs_before, 6);
   ps_cluster_clear (&cluster);
 }
 
@@ -419,17 +420,17 @@
   ps_start_instance (&cluster);
   ps_submit_batch (&cluster, 0, "b1", 2);
   PS_WAIT_UNTIL (&cluster, (preferred = ps_find_batch_owner (&cluster)) < 2);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 2);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 0, "b1") == 2);
   cluster.store.delayed_server = ps_get_store_server (&cluster, preferred);
   /* Waits until the watches that started before the delay was set have ended. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
   PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () >= end);
-  size_t runs_before = ps_count_engine_runs (&cluster);
+  size_t runs_before = ps_count_started_sample_streams (&cluster);
   ps_submit_batch (&cluster, 1 - preferred, "b2", 6);
   cr_assert_eq (cluster.response_status, 202);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 1 - preferred, "b2") == 6);
-  ps_assert_all_results_listed (&cluster, 1 - preferred, "b2", 6);
-  cr_assert_eq (ps_count_engine_runs (&cluster) - runs_before, 6);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 1 - preferred, "b2") == 6);
+  ps_assert_each_item_has_one_result (&cluster, 1 - preferred, "b2", 6);
+  cr_assert_eq (ps_count_started_sample_streams (&cluster) - runs_before, 6);
   ps_cluster_clear (&cluster);
 }
 
@@ -465,18 +466,18 @@
   ps_start_instance (&cluster);
   ps_submit_batch (&cluster, 0, "b1", 6);
   ps_submit_batch (&cluster, 1, "b2", 3);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 6);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b2") == 3);
-  ps_call (&cluster, 1, "DELETE", "/-/lots/b1", "", "");
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 0, "b1") == 6);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 0, "b2") == 3);
+  ps_call_and_wait (&cluster, 1, "DELETE", "/-/lots/b1", "", "");
   cr_assert_eq (cluster.response_status, 200);
   PS_WAIT_UNTIL (&cluster, si_row_store_count_rows (&cluster.store, "head") == 1);
   cr_assert_eq (si_row_store_count_rows (&cluster.store, "result"), 3);
   cr_assert_eq (si_row_store_count_objects (&cluster.store), 1);
-  PS_WAIT_UNTIL (&cluster, (ps_call (&cluster, 0, "GET", "/-/lots/b1", "", ""),
+  PS_WAIT_UNTIL (&cluster, (ps_call_and_wait (&cluster, 0, "GET", "/-/lots/b1", "", ""),
                             cluster.response_status == 404));
-  PS_WAIT_UNTIL (&cluster, (ps_call (&cluster, 1, "GET", "/-/lots/b1", "", ""),
+  PS_WAIT_UNTIL (&cluster, (ps_call_and_wait (&cluster, 1, "GET", "/-/lots/b1", "", ""),
                             cluster.response_status == 404));
-  ps_assert_all_results_listed (&cluster, 0, "b2", 3);
+  ps_assert_each_item_has_one_result (&cluster, 0, "b2", 3);
   ps_cluster_clear (&cluster);
 }
 
@@ -488,7 +489,7 @@
   char path[64];
 
   snprintf (path, sizeof path, "/-/lots/b1?after=%d", position);
-  ps_call (cluster, instance, "GET", path, "", "");
+  ps_call_and_wait (cluster, instance, "GET", path, "", "");
   struct json_object *page = json_tokener_parse (cluster->response_body);
   struct json_object *results = lb_json_member (page, "results");
   bool is_listed
@@ -519,7 +520,7 @@
   for (int i = 0; i < 4; i++)
     PS_WAIT_UNTIL (&cluster, is_long_result_listed (&cluster, (size_t)i % 2, i,
                                                     (size_t)cluster.engines[0].n_events * 40000));
-  ps_call (&cluster, 0, "DELETE", "/-/lots/b1", "", "");
+  ps_call_and_wait (&cluster, 0, "DELETE", "/-/lots/b1", "", "");
   PS_WAIT_UNTIL (&cluster, si_row_store_count_rows (&cluster.store, "head") == 0);
   cr_assert_eq (si_row_store_count_rows (&cluster.store, "result")
                     + si_row_store_count_rows (&cluster.store, "more"),
@@ -543,8 +544,8 @@
   cluster.store.mode = SI_ROW_STORE_NORMAL;
   PS_WAIT_UNTIL (&cluster, cluster.n_responses > responses_before);
   cr_assert_eq (cluster.response_status, 202);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 3);
-  ps_assert_all_results_listed (&cluster, 0, "b1", 3);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 0, "b1") == 3);
+  ps_assert_each_item_has_one_result (&cluster, 0, "b1", 3);
   free (body);
   ps_cluster_clear (&cluster);
 }
@@ -563,7 +564,7 @@
   ps_start_instance (&cluster);
   ps_submit_batch (&cluster, 0, "b1", 2);
   PS_WAIT_UNTIL (&cluster, (owner = ps_find_batch_owner (&cluster)) < 2);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 2);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 0, "b1") == 2);
   /* Gives the instances time to discover each other. */
   LbTime end = lb_clock_monotonic () + LB_SEC;
   PS_WAIT_UNTIL (&cluster, lb_clock_monotonic () >= end);
@@ -572,8 +573,8 @@
   ps_submit_batch (&cluster, owner, "b2", 3);
   cr_assert_eq (cluster.response_status, 202);
   cluster.instances[1 - owner].store_relay.fault = (PtRelayFault){ 0 };
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, owner, "b2") == 3);
-  ps_assert_all_results_listed (&cluster, owner, "b2", 3);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, owner, "b2") == 3);
+  ps_assert_each_item_has_one_result (&cluster, owner, "b2", 3);
   ps_cluster_clear (&cluster);
 }
 
@@ -592,8 +593,8 @@
   cr_assert_eq (cluster.response_status, 502);
   cr_assert_eq (si_row_store_count_rows (&cluster.store, "head"), 1);
   cluster.store.mode = SI_ROW_STORE_NORMAL;
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 3);
-  ps_assert_all_results_listed (&cluster, 0, "b1", 3);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 0, "b1") == 3);
+  ps_assert_each_item_has_one_result (&cluster, 0, "b1", 3);
   ps_cluster_clear (&cluster);
 }
 
@@ -609,12 +610,12 @@
   ps_submit_batch (&cluster, 0, "b1", 3);
   cr_assert_eq (cluster.response_status, 503);
   cr_assert_neq (cluster.retry_after[0], '\0');
-  ps_call (&cluster, 0, "POST", "/lookup/1", "c1", "hello");
+  ps_call_and_wait (&cluster, 0, "POST", "/lookup/1", "c1", "hello");
   cr_assert_eq (cluster.response_status, 200);
   cluster.store.mode = SI_ROW_STORE_NORMAL;
   PS_WAIT_UNTIL (&cluster,
                  (ps_submit_batch (&cluster, 0, "b1", 3), cluster.response_status == 202));
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 3);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 0, "b1") == 3);
   ps_cluster_clear (&cluster);
 }
 
@@ -630,19 +631,19 @@
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
   ps_put_desired_state (&cluster, 5, added_route);
-  PS_WAIT_UNTIL (&cluster, (ps_call (&cluster, 0, "GET", "/new/x", "c1", ""),
+  PS_WAIT_UNTIL (&cluster, (ps_call_and_wait (&cluster, 0, "GET", "/new/x", "c1", ""),
                             cluster.response_status == 200));
   ps_put_desired_state (&cluster, 4, "");
   for (int i = 0; i < 20; i++)
     {
-      ps_call (&cluster, 0, "GET", "/new/x", "c2", "");
+      ps_call_and_wait (&cluster, 0, "GET", "/new/x", "c2", "");
       cr_assert_eq (cluster.response_status, 200);
       usleep (50000);
     }
   si_row_store_put (&cluster.store, "op", "", "config", "{\"version\": 9, \"routes\": \"none\"}");
   for (int i = 0; i < 20; i++)
     {
-      ps_call (&cluster, 0, "GET", "/new/x", "c3", "");
+      ps_call_and_wait (&cluster, 0, "GET", "/new/x", "c3", "");
       cr_assert_eq (cluster.response_status, 200,
                     "expected status 200 after an invalid desired state");
       usleep (50000);
@@ -663,15 +664,15 @@
   ps_start_instance (&cluster);
   ps_start_instance (&cluster);
   ps_submit_batch (&cluster, 0, "b1", 30);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") >= 3);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 0, "b1") >= 3);
   pt_process_signal (&cluster.instances[0].process, SIGTERM);
   PS_WAIT_UNTIL (&cluster, !ps_is_instance_ready (&cluster, 0));
-  ps_call (&cluster, 0, "POST", "/lookup/1", "c1", "hello");
+  ps_call_and_wait (&cluster, 0, "POST", "/lookup/1", "c1", "hello");
   cr_assert_eq (cluster.response_status, 200);
   PS_WAIT_UNTIL (&cluster, pt_process_has_exited (&cluster.instances[0].process, 0));
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 1, "b1") == 30);
-  ps_assert_all_results_listed (&cluster, 1, "b1", 30);
-  ps_call (&cluster, 1, "GET", "/-/resolve?name=h.example", "", "");
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 1, "b1") == 30);
+  ps_assert_each_item_has_one_result (&cluster, 1, "b1", 30);
+  ps_call_and_wait (&cluster, 1, "GET", "/-/resolve?name=h.example", "", "");
   cr_assert_null (strstr (cluster.response_body, cluster.instances[0].address));
   ps_cluster_clear (&cluster);
 }
@@ -687,14 +688,14 @@
   ps_start_instance (&cluster);
   ps_submit_batch (&cluster, 0, "b1", 10);
   pt_process_signal (&cluster.instances[0].process, SIGHUP);
-  ps_call (&cluster, 0, "POST", "/lookup/1", "c1", "hello");
+  ps_call_and_wait (&cluster, 0, "POST", "/lookup/1", "c1", "hello");
   cr_assert_eq (cluster.response_status, 200);
   snprintf (path, sizeof path, "%s/%s.json", cluster.folder, cluster.instances[0].name);
   FILE *out = fopen (path, "w");
   fputs ("{ nonsense", out);
   fclose (out);
   pt_process_signal (&cluster.instances[0].process, SIGHUP);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 10);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 0, "b1") == 10);
   cr_assert_not (cluster.instances[0].process.ended);
   ps_cluster_clear (&cluster);
 }
@@ -713,17 +714,17 @@
     }
   ps_start_instance (&cluster);
   ps_submit_batch (&cluster, 0, "b1", 6);
-  PS_WAIT_UNTIL (&cluster, ps_count_engine_runs (&cluster) >= 6);
-  ps_call (&cluster, 0, "DELETE", "/-/lots/b1", "", "");
+  PS_WAIT_UNTIL (&cluster, ps_count_started_sample_streams (&cluster) >= 6);
+  ps_call_and_wait (&cluster, 0, "DELETE", "/-/lots/b1", "", "");
   cr_assert_eq (cluster.response_status, 200);
   PS_WAIT_UNTIL (&cluster, cluster.engines[0].cancelled_streams
                                    + cluster.engines[1].cancelled_streams
                                    + cluster.engines[2].cancelled_streams
                                == 6);
-  size_t runs = ps_count_engine_runs (&cluster);
+  size_t runs = ps_count_started_sample_streams (&cluster);
   for (int i = 0; i < 100; i++)
-    ps_run_loop_once (&cluster);
-  cr_assert_eq (ps_count_engine_runs (&cluster), runs);
+    ps_run_event_loop_once (&cluster);
+  cr_assert_eq (ps_count_started_sample_streams (&cluster), runs);
   ps_cluster_clear (&cluster);
 }
 
@@ -736,15 +737,15 @@
   ps_cluster_init (&cluster);
   ps_start_instance (&cluster);
   ps_submit_batch (&cluster, 0, "b1", 9);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b1") == 9);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 0, "b1") == 9);
   cluster.engines[0].draining = true;
   si_endpoint_register (&cluster.engines[0]);
   LbTime end = lb_clock_monotonic () + 2 * LB_SEC;
   while (lb_clock_monotonic () < end)
-    ps_run_loop_once (&cluster);
+    ps_run_event_loop_once (&cluster);
   size_t runs = cluster.engines[0].n_stream_records;
   ps_submit_batch (&cluster, 0, "b2", 12);
-  PS_WAIT_UNTIL (&cluster, ps_count_listed_results (&cluster, 0, "b2") == 12);
+  PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, 0, "b2") == 12);
   cr_assert_eq (cluster.engines[0].n_stream_records, runs);
   ps_cluster_clear (&cluster);
 }
@@ -762,10 +763,10 @@
   ps_cluster_init (&cluster);
   si_row_store_put (&cluster.store, "instance", "0", "gone", gone_row);
   size_t instance = ps_start_instance (&cluster);
-  PS_WAIT_UNTIL (&cluster, ps_count_in_log (&cluster, instance, "instances_listed") > 0);
+  PS_WAIT_UNTIL (&cluster, ps_count_text_in_log (&cluster, instance, "instances_listed") > 0);
   for (int i = 0; i < 50; i++)
     {
-      ps_call (&cluster, instance, "GET", "/-/resolve?name=h.example", "", "");
+      ps_call_and_wait (&cluster, instance, "GET", "/-/resolve?name=h.example", "", "");
       cr_assert (strstr (cluster.response_body, cluster.instances[instance].address));
       cr_assert_not (strstr (cluster.response_body, "127.0.0.9:9"),
                      "the address of a removed instance is listed");
--- a/tests/process/test-silence.c
+++ b/tests/process/test-silence.c
@@ -67,16 +67,16 @@
   fixture->instance = pt_start_instance (&fixture->cluster, "i1", "hall-a");
   strcpy (direct_address, fixture->endpoint->address);
   strcpy (fixture->endpoint->address, fixture->relay.address);
-  pt_apply_resources (&fixture->cluster, fixture->instance);
+  pt_configure_cluster (&fixture->cluster, fixture->instance);
   strcpy (fixture->endpoint->address, direct_address);
-  pt_wait_until_ready (&fixture->cluster, fixture->instance);
+  pt_wait_until_instance_ready (&fixture->cluster, fixture->instance);
 }
 
 static void
 fixture_clear (Fixture *fixture)
 {
   pt_relay_clear (&fixture->relay);
-  pt_drain_instances (&fixture->cluster);
+  pt_drain_instances_and_wait_for_exit (&fixture->cluster);
   pt_cluster_clear (&fixture->cluster);
 }
 
@@ -109,7 +109,9 @@
   cr_assert_eq (pending_call.result.outcome, SI_CALL_COMPLETE,
                 "expected SI_CALL_COMPLETE, got outcome %d: %s", pending_call.result.outcome,
                 pending_call.result.error);
-  cr_assert_eq (pt_read_log_counter (&fixture.cluster, fixture.endpoint, "resume_mismatches"), 0);
+  cr_assert_eq (pt_read_standin_log_counter (&fixture.cluster, fixture.endpoint,
+                                             "resume_mismatches"),
+                0);
   spec.prompt = "a third";
   cr_assert_eq (pt_run_checked_call (&fixture.cluster, &spec).outcome, SI_CALL_COMPLETE);
   fixture_clear (&fixture);
--- a/tests/process/test-slow.c
+++ b/tests/process/test-slow.c
@@ -18,8 +18,8 @@
   pt_start_engine (&cluster, "engine-1", engine_options);
   PtProgram *service = pt_start_service (&cluster, "lookup-1", service_options);
   PtProgram *instance = pt_start_instance (&cluster, "i1", "hall-a");
-  pt_apply_resources (&cluster, instance);
-  pt_wait_until_ready (&cluster, instance);
+  pt_configure_cluster (&cluster, instance);
+  pt_wait_until_instance_ready (&cluster, instance);
   SiCheckedCallSpec stream = { .address = instance->address,
                                .model = "reader",
                                .prompt = "slowly",
@@ -44,6 +44,6 @@
                 "service call: expected SI_CALL_COMPLETE, got outcome %d: %s", result.outcome,
                 result.error);
   cr_assert_eq (pt_count_call_runs (&cluster, service, "order-1"), 1);
-  pt_drain_instances (&cluster);
+  pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
--- a/tests/process/test-steps.c
+++ b/tests/process/test-steps.c
@@ -33,9 +33,9 @@
   pt_start_instance (cluster, "i1", "hall-a");
   pt_start_instance (cluster, "i2", "hall-b");
   pt_start_instance (cluster, "i3", "hall-c");
-  pt_apply_resources (cluster, &cluster->instances[0]);
+  pt_configure_cluster (cluster, &cluster->instances[0]);
   for (size_t i = 0; i < cluster->n_instances; i++)
-    pt_wait_until_ready (cluster, &cluster->instances[i]);
+    pt_wait_until_instance_ready (cluster, &cluster->instances[i]);
 }
 
 static void
@@ -67,7 +67,7 @@
 fixture_clear (Fixture *fixture)
 {
   pt_process_clear (&fixture->trainer);
-  pt_drain_instances (&fixture->cluster);
+  pt_drain_instances_and_wait_for_exit (&fixture->cluster);
   pt_cluster_clear (&fixture->cluster);
 }
 
@@ -77,7 +77,7 @@
   int64_t n = 0;
 
   for (size_t i = 0; i < cluster->n_endpoints; i++)
-    n += pt_read_log_counter (cluster, &cluster->endpoints[i], "finished");
+    n += pt_read_standin_log_counter (cluster, &cluster->endpoints[i], "finished");
   return n;
 }
 
@@ -113,7 +113,7 @@
 static void
 check_trainer_got_all_samples (Fixture *fixture)
 {
-  struct json_object *summary = pt_wait_for_summary (&fixture->cluster, &fixture->trainer);
+  struct json_object *summary = pt_wait_for_client_summary (&fixture->cluster, &fixture->trainer);
 
   cr_assert (pt_process_has_exited (&fixture->trainer, 0), "trainer failed: %s (logs in %s)",
              json_object_to_json_string (summary), fixture->cluster.folder);
--- a/tests/process/test-tickets.c
+++ b/tests/process/test-tickets.c
@@ -47,10 +47,10 @@
   fixture->service = pt_start_service (&fixture->cluster, "lookup-1", options);
   fixture->first = pt_start_instance (&fixture->cluster, "i1", "hall-a");
   fixture->second = pt_start_instance (&fixture->cluster, "i2", "hall-b");
-  pt_apply_resources (&fixture->cluster, fixture->first);
-  pt_wait_until_revision_in_force (&fixture->cluster);
-  pt_wait_until_ready (&fixture->cluster, fixture->first);
-  pt_wait_until_ready (&fixture->cluster, fixture->second);
+  pt_configure_cluster (&fixture->cluster, fixture->first);
+  pt_wait_until_instances_have_same_revision (&fixture->cluster);
+  pt_wait_until_instance_ready (&fixture->cluster, fixture->first);
+  pt_wait_until_instance_ready (&fixture->cluster, fixture->second);
   pt_wait_until (&fixture->cluster, "both instances list two addresses",
                  do_instances_list_each_other, NULL);
 }
--- a/tests/soak/sk-callers.c
+++ b/tests/soak/sk-callers.c
@@ -83,7 +83,7 @@
 was_called_instance_undisturbed (const Call *call, LbTime since)
 {
   return call->instance->n_process_starts == call->called_process_start
-         && sk_instance_was_undisturbed (call->instance, since);
+         && sk_instance_was_undisturbed_since (call->instance, since);
 }
 
 static bool
@@ -285,7 +285,7 @@
 }
 
 void
-sk_callers_stop (SkCallers *callers)
+sk_callers_stop_new_calls (SkCallers *callers)
 {
   callers->stopped = true;
 }
--- a/tests/soak/sk-callers.h
+++ b/tests/soak/sk-callers.h
@@ -12,6 +12,6 @@
 void sk_callers_free (SkCallers *callers);
 void sk_callers_start_due_calls (SkCallers *callers, LbTime now);
 /* Stops starting new calls; calls in progress continue. */
-void sk_callers_stop (SkCallers *callers);
+void sk_callers_stop_new_calls (SkCallers *callers);
 
 #endif
--- a/tests/soak/sk-crasher.c
+++ b/tests/soak/sk-crasher.c
@@ -108,7 +108,7 @@
 }
 
 void
-sk_crasher_send_if_due (SkCrasher *crasher, LbTime now)
+sk_crasher_send_fatal_request_if_due (SkCrasher *crasher, LbTime now)
 {
   SkWorld *world = crasher->world;
   SkInstance *instance = NULL;
@@ -123,7 +123,7 @@
 }
 
 void
-sk_crasher_stop (SkCrasher *crasher)
+sk_crasher_stop_new_requests (SkCrasher *crasher)
 {
   crasher->stopped = true;
 }
@@ -150,7 +150,8 @@
   if (crasher->n_crashes == CRASHES_TO_QUARANTINE)
     crasher->quarantined_by = now + QUARANTINE_TIME + QUARANTINE_SLACK;
   if (crasher->n_crashes <= CRASHES_TO_QUARANTINE || now < crasher->quarantined_by || !call
-      || !sk_instance_was_undisturbed (call->instance, now - QUARANTINE_TIME - QUARANTINE_SLACK))
+      || !sk_instance_was_undisturbed_since (call->instance,
+                                             now - QUARANTINE_TIME - QUARANTINE_SLACK))
     return;
   crasher->n_runs_after_quarantine++;
   if (crasher->n_runs_after_quarantine > MAX_RUNS_AFTER_QUARANTINE)
--- a/tests/soak/sk-crasher.h
+++ b/tests/soak/sk-crasher.h
@@ -12,9 +12,9 @@
 SkCrasher *sk_crasher_new (SkWorld *world);
 void sk_crasher_free (SkCrasher *crasher);
 /* Sends the next fatal request if it is due. */
-void sk_crasher_send_if_due (SkCrasher *crasher, LbTime now);
+void sk_crasher_send_fatal_request_if_due (SkCrasher *crasher, LbTime now);
 /* Stops sending fatal requests. */
-void sk_crasher_stop (SkCrasher *crasher);
+void sk_crasher_stop_new_requests (SkCrasher *crasher);
 /* Records that a service has started the fatal request `id` and is about to crash. */
 void sk_crasher_record_crash (SkCrasher *crasher, const char *id, const char *service);
 
--- a/tests/soak/sk-faults.c
+++ b/tests/soak/sk-faults.c
@@ -102,7 +102,7 @@
 static void
 pause_batch_owner (SkWorld *world)
 {
-  SkInstance *owner = sk_find_batch_owner (world);
+  SkInstance *owner = sk_find_owner_of_trainer_batch (world);
 
   if (owner)
     sk_instance_pause (owner, draw_random_duration (world, 1500, 4500));
@@ -111,7 +111,7 @@
 static void
 kill_batch_owner (SkWorld *world)
 {
-  SkInstance *owner = sk_find_batch_owner (world);
+  SkInstance *owner = sk_find_owner_of_trainer_batch (world);
 
   if (owner)
     sk_instance_kill (owner, draw_random_duration (world, 100, 2500));
@@ -296,7 +296,10 @@
 /* Seeds rng from fault_rng before each fault, so that the details of the fault are reproducible.
  * Traffic draws from rng too, and the amount of traffic depends on the speed of the machine. */
 void
-sk_faults_inject_if_due (SkWorld *world, const char *only_fault_kind, LbTime *next_at, LbTime now)
+sk_faults_inject_next_if_due (SkWorld *world,
+                              const char *only_fault_kind,
+                              LbTime *next_at,
+                              LbTime now)
 {
   const SkFault *fault = NULL;
 
--- a/tests/soak/sk-faults.h
+++ b/tests/soak/sk-faults.h
@@ -16,8 +16,10 @@
 
 /* If *next_at has passed, injects a fault and advances *next_at. only_fault_kind: name of the kind
  * of fault; NULL: a random kind. */
-void
-sk_faults_inject_if_due (SkWorld *world, const char *only_fault_kind, LbTime *next_at, LbTime now);
+void sk_faults_inject_next_if_due (SkWorld *world,
+                                   const char *only_fault_kind,
+                                   LbTime *next_at,
+                                   LbTime now);
 /* Makes all pending restarts, resumes and repairs due at once, so that all faults end. */
 void sk_faults_end_all (SkWorld *world);
 
--- a/tests/soak/sk-one-shot.c
+++ b/tests/soak/sk-one-shot.c
@@ -157,7 +157,7 @@
 }
 
 void
-sk_one_shot_trainers_submit_if_due (SkOneShotTrainers *one_shot_trainers, LbTime now)
+sk_one_shot_trainers_submit_batch_if_due (SkOneShotTrainers *one_shot_trainers, LbTime now)
 {
   SkWorld *world = one_shot_trainers->world;
   SkInstance *instance = NULL;
@@ -171,7 +171,7 @@
 }
 
 void
-sk_one_shot_trainers_stop (SkOneShotTrainers *one_shot_trainers)
+sk_one_shot_trainers_stop_new_batches (SkOneShotTrainers *one_shot_trainers)
 {
   one_shot_trainers->stopped = true;
 }
--- a/tests/soak/sk-trainer.c
+++ b/tests/soak/sk-trainer.c
@@ -243,7 +243,7 @@
 was_called_instance_undisturbed (const SkTrainer *trainer, LbTime since)
 {
   return trainer->called_instance->n_process_starts == trainer->called_process_start
-         && sk_instance_was_undisturbed (trainer->called_instance, since)
+         && sk_instance_was_undisturbed_since (trainer->called_instance, since)
          && trainer->world->last_disturbed_at < since;
 }
 
@@ -394,7 +394,7 @@
 }
 
 bool
-sk_trainer_has_open_call (const SkTrainer *trainer)
+sk_trainer_has_call_in_progress (const SkTrainer *trainer)
 {
   return trainer->fetch != NULL;
 }
@@ -445,13 +445,13 @@
 }
 
 void
-sk_trainer_stop (SkTrainer *trainer)
+sk_trainer_stop_after_step (SkTrainer *trainer)
 {
   trainer->stopped = true;
 }
 
 bool
-sk_trainer_is_done (const SkTrainer *trainer)
+sk_trainer_has_completed_last_step (const SkTrainer *trainer)
 {
   return trainer->state == TRAINER_DONE;
 }
--- a/tests/soak/sk-world.c
+++ b/tests/soak/sk-world.c
@@ -160,7 +160,7 @@
 }
 
 bool
-sk_instance_was_undisturbed (const SkInstance *instance, LbTime since)
+sk_instance_was_undisturbed_since (const SkInstance *instance, LbTime since)
 {
   return sk_instance_is_running (instance) && !instance->stopping
          && instance->last_disturbed_at < since && instance->world->store_last_disturbed_at < since;
@@ -169,7 +169,7 @@
 /* Finds the instance that runs the trainer's batch by the logs of all instances, as an operator
  * would. */
 SkInstance *
-sk_find_batch_owner (SkWorld *world)
+sk_find_owner_of_trainer_batch (SkWorld *world)
 {
   char line[LB_NAME_MAX + 48];
 
@@ -745,7 +745,7 @@
 }
 
 void
-sk_world_run_once (SkWorld *world)
+sk_world_run_event_loop_once (SkWorld *world)
 {
   LbTime now = 0;
 
--- a/tests/soak/sk-world.h
+++ b/tests/soak/sk-world.h
@@ -116,7 +116,7 @@
 void sk_world_clear (SkWorld *world, bool keep_logs);
 /* Runs one pass of the event loop, then executes the restarts, resumes and repairs that are due and
  * checks for processes that have ended. */
-void sk_world_run_once (SkWorld *world);
+void sk_world_run_event_loop_once (SkWorld *world);
 
 /* Counts and prints a violated invariant. */
 void sk_report_violation (SkWorld *world, const char *invariant, const char *format, ...)
@@ -156,10 +156,10 @@
 bool sk_instance_is_running (const SkInstance *instance);
 /* Returns the first running instance whose log says that it runs the trainer's batch; NULL if there
  * is none. */
-SkInstance *sk_find_batch_owner (SkWorld *world);
+SkInstance *sk_find_owner_of_trainer_batch (SkWorld *world);
 /* Returns true if the instance runs, is not shutting down, and neither the instance nor the
  * store was disturbed (start, signal, exit or fault) after `since`. */
-bool sk_instance_was_undisturbed (const SkInstance *instance, LbTime since);
+bool sk_instance_was_undisturbed_since (const SkInstance *instance, LbTime since);
 SkRequest *sk_request_find (SkWorld *world, const char *id);
 SkRequest *sk_request_find_or_add (SkWorld *world, const char *id);
 /* Returns a random number from low to high, both included. */
--- a/tests/soak/soak-processes.c
+++ b/tests/soak/soak-processes.c
@@ -51,9 +51,9 @@
 
   sk_callers_start_due_calls (run->callers, now);
   sk_trainer_start_due_call (run->trainer, now);
-  sk_one_shot_trainers_submit_if_due (run->one_shot_trainers, now);
-  sk_crasher_send_if_due (run->crasher, now);
-  sk_world_run_once (&run->world);
+  sk_one_shot_trainers_submit_batch_if_due (run->one_shot_trainers, now);
+  sk_crasher_send_fatal_request_if_due (run->crasher, now);
+  sk_world_run_event_loop_once (&run->world);
 }
 
 static void
@@ -62,7 +62,7 @@
   LbTime end = lb_clock_monotonic () + INSTANCE_START_TIMEOUT;
 
   while (!are_all_instances_running (&run->world) && lb_clock_monotonic () < end)
-    sk_world_run_once (&run->world);
+    sk_world_run_event_loop_once (&run->world);
   if (!are_all_instances_running (&run->world))
     sk_report_violation (&run->world, "instances start in time",
                          "expected an address file of every instance within the timeout");
@@ -91,7 +91,7 @@
 
   for (LbTime now = 0; (now = lb_clock_monotonic ()) < end;)
     {
-      sk_faults_inject_if_due (&run->world, only_fault_kind, &next, now);
+      sk_faults_inject_next_if_due (&run->world, only_fault_kind, &next, now);
       send_due_calls_and_run_loop_once (run);
     }
 }
@@ -105,21 +105,22 @@
   LbTime end = lb_clock_monotonic () + LAST_STEP_TIMEOUT;
 
   sk_faults_end_all (world);
-  sk_trainer_stop (run->trainer);
-  while ((!sk_trainer_is_done (run->trainer) || !are_all_instances_running (world))
+  sk_trainer_stop_after_step (run->trainer);
+  while ((!sk_trainer_has_completed_last_step (run->trainer) || !are_all_instances_running (world))
          && lb_clock_monotonic () < end)
     send_due_calls_and_run_loop_once (run);
-  if (!sk_trainer_is_done (run->trainer))
+  if (!sk_trainer_has_completed_last_step (run->trainer))
     sk_report_violation (world, "every sample is delivered",
                          "the last step is incomplete after %.0f s",
                          (double)LAST_STEP_TIMEOUT / LB_SEC);
-  sk_callers_stop (run->callers);
-  sk_one_shot_trainers_stop (run->one_shot_trainers);
-  sk_crasher_stop (run->crasher);
-  for (size_t i = 0; i < world->n_instances && sk_trainer_is_done (run->trainer); i++)
+  sk_callers_stop_new_calls (run->callers);
+  sk_one_shot_trainers_stop_new_batches (run->one_shot_trainers);
+  sk_crasher_stop_new_requests (run->crasher);
+  for (size_t i = 0; i < world->n_instances && sk_trainer_has_completed_last_step (run->trainer);
+       i++)
     {
       sk_trainer_reread_results (run->trainer, &world->instances[i]);
-      while (sk_trainer_has_open_call (run->trainer))
+      while (sk_trainer_has_call_in_progress (run->trainer))
         send_due_calls_and_run_loop_once (run);
     }
 }
