--- a/packages/node/tests/node-fixture.h
+++ b/packages/node/tests/node-fixture.h
@@ -37,17 +37,18 @@
   LnTask *calls;
 } Fixture;
 
-/* The test's end of a connection to the daemon, with the bytes received on the connection. */
+/* The socket of a caller or endpoint that the test plays, connected to the daemon; `text` holds the
+ * bytes that the daemon sent. */
 typedef struct
 {
   int fd;
   char text[1 << 16];
   size_t length;
   bool closed;
-} Peer;
+} TestConnection;
 
 static inline void
-fixture_init (Fixture *f)
+fixture_init_settings_and_event_base (Fixture *f)
 {
   memset (f, 0, sizeof *f);
   signal (SIGPIPE, SIG_IGN);
@@ -59,7 +60,7 @@
 }
 
 static inline void
-fixture_start_tasks (Fixture *f)
+fixture_start_front_and_calls (Fixture *f)
 {
   LnReadyMessage ready = { .base = LN_MESSAGE (LN_READY), .ready = true };
 
@@ -90,7 +91,7 @@
 }
 
 static inline void
-fixture_run_loop_once (Fixture *f)
+fixture_run_event_loop_once (Fixture *f)
 {
   event_base_loop (f->base, EVLOOP_NONBLOCK);
   usleep (200);
@@ -103,11 +104,12 @@
       LbTime deadline_ = lb_clock_monotonic () + FIXTURE_WAIT_TIMEOUT;                             \
       bool is_met_ = false;                                                                        \
       while (!(is_met_ = (condition)) && lb_clock_monotonic () < deadline_)                        \
-        fixture_run_loop_once (f);                                                                 \
+        fixture_run_event_loop_once (f);                                                           \
       cr_assert (is_met_, "timeout waiting for: %s", #condition);                                  \
     }                                                                                              \
   while (0)
 
+/* Returns 127.0.0.1 with the port of `address` (IP:PORT); port 0 if `address` is NULL. */
 static inline struct sockaddr_in
 fixture_make_loopback_address (const char *address)
 {
@@ -136,96 +138,97 @@
 }
 
 static inline void
-peer_init (Peer *peer, int fd)
+connection_init (TestConnection *connection, int fd)
 {
-  memset (peer, 0, sizeof *peer);
-  peer->fd = fd;
+  memset (connection, 0, sizeof *connection);
+  connection->fd = fd;
   fcntl (fd, F_SETFL, fcntl (fd, F_GETFL) | O_NONBLOCK);
 }
 
 static inline void
-peer_close (Peer *peer)
+connection_close (TestConnection *connection)
 {
-  close (peer->fd);
-  peer->fd = -1;
+  close (connection->fd);
+  connection->fd = -1;
 }
 
 static inline void
-peer_send (Peer *peer, const char *text)
+connection_send_text (TestConnection *connection, const char *text)
 {
   size_t length = strlen (text);
 
-  cr_assert_eq (send (peer->fd, text, length, 0), (ssize_t)length);
+  cr_assert_eq (send (connection->fd, text, length, 0), (ssize_t)length);
 }
 
-/* Receives the bytes that are available. Always returns true, for use in FIXTURE_WAIT_UNTIL. */
+/* Receives the bytes that have arrived. Always returns true, for use in the condition of
+ * FIXTURE_WAIT_UNTIL. */
 static inline bool
-peer_read (Peer *peer)
+connection_receive_available (TestConnection *connection)
 {
-  ssize_t n_read
-      = recv (peer->fd, peer->text + peer->length, sizeof peer->text - 1 - peer->length, 0);
+  ssize_t n_read = recv (connection->fd, connection->text + connection->length,
+                         sizeof connection->text - 1 - connection->length, 0);
 
   if (n_read > 0)
     {
-      peer->length += (size_t)n_read;
-      peer->text[peer->length] = '\0';
+      connection->length += (size_t)n_read;
+      connection->text[connection->length] = '\0';
     }
   else if (n_read == 0 || (errno != EAGAIN && errno != EWOULDBLOCK))
-    peer->closed = true;
+    connection->closed = true;
   return true;
 }
 
 static inline bool
-peer_has_received (Peer *peer, const char *needle)
+connection_has_received (TestConnection *connection, const char *needle)
 {
-  peer_read (peer);
-  return strstr (peer->text, needle) != NULL;
+  connection_receive_available (connection);
+  return strstr (connection->text, needle) != NULL;
 }
 
 static inline bool
-peer_is_closed (Peer *peer)
+connection_is_closed_by_daemon (TestConnection *connection)
 {
-  peer_read (peer);
-  return peer->closed;
+  connection_receive_available (connection);
+  return connection->closed;
 }
 
 static inline void
-peer_clear_text (Peer *peer)
+connection_clear_received_text (TestConnection *connection)
 {
-  peer->length = 0;
-  peer->text[0] = '\0';
+  connection->length = 0;
+  connection->text[0] = '\0';
 }
 
 /* Connects to the daemon's listener for callers. */
 static inline void
-caller_connect (Fixture *f, Peer *caller)
+caller_connect (Fixture *f, TestConnection *caller)
 {
   int fd = socket (AF_INET, SOCK_STREAM, 0);
   struct sockaddr_in to = fixture_make_loopback_address (f->context.caller_address);
 
   cr_assert_eq (connect (fd, (struct sockaddr *)&to, sizeof to), 0);
-  peer_init (caller, fd);
+  connection_init (caller, fd);
 }
 
 static inline void
-caller_send_post (Peer *caller, const char *path, const char *headers, const char *body)
+caller_send_post (TestConnection *caller, const char *path, const char *headers, const char *body)
 {
   char *text = lb_asprintf ("POST %s HTTP/1.1\r\nHost: x\r\n%sContent-Length: %zu\r\n\r\n%s", path,
                             headers, strlen (body), body);
 
-  peer_send (caller, text);
+  connection_send_text (caller, text);
   free (text);
 }
 
 static inline void
-endpoint_reply_to_load_poll (Peer *peer)
+endpoint_reply_to_load_poll (TestConnection *connection)
 {
   const char *load = "{\"incarnation\":\"e\",\"state\":\"serving\",\"weight_version\":40}";
   char *text = lb_asprintf ("HTTP/1.1 200 OK\r\nContent-Length: %zu\r\n"
                             "Connection: close\r\n\r\n%s",
                             strlen (load), load);
 
-  peer_send (peer, text);
+  connection_send_text (connection, text);
   free (text);
 }
 
@@ -233,82 +236,85 @@
  * has arrived yet. Also answers load polls, since the daemon sends no work to an endpoint
  * without a load report, and closes connections that poll for cache events. */
 static inline bool
-endpoint_try_accept_call (int listener, Peer *peer)
+endpoint_try_accept_call (int listener, TestConnection *connection)
 {
-  if (peer->fd <= 0)
+  if (connection->fd <= 0)
     {
       int fd = accept (listener, NULL, NULL);
       if (fd < 0)
         return false;
-      peer_init (peer, fd);
+      connection_init (connection, fd);
     }
-  peer_read (peer);
-  if (strncmp (peer->text, "GET /load", 9) == 0)
-    endpoint_reply_to_load_poll (peer);
-  if (strncmp (peer->text, "GET /load", 9) == 0 || strncmp (peer->text, "GET /cache_e", 12) == 0
-      || peer->closed)
+  connection_receive_available (connection);
+  if (strncmp (connection->text, "GET /load", 9) == 0)
+    endpoint_reply_to_load_poll (connection);
+  if (strncmp (connection->text, "GET /load", 9) == 0
+      || strncmp (connection->text, "GET /cache_e", 12) == 0 || connection->closed)
     {
-      peer_close (peer);
+      connection_close (connection);
       return false;
     }
-  return strstr (peer->text, "\r\n\r\n") != NULL;
+  return strstr (connection->text, "\r\n\r\n") != NULL;
 }
 
 static inline void
-endpoint_accept_call (Fixture *f, int listener, Peer *peer)
+endpoint_accept_call (Fixture *f, int listener, TestConnection *connection)
 {
-  memset (peer, 0, sizeof *peer);
-  FIXTURE_WAIT_UNTIL (f, endpoint_try_accept_call (listener, peer));
+  memset (connection, 0, sizeof *connection);
+  FIXTURE_WAIT_UNTIL (f, endpoint_try_accept_call (listener, connection));
 }
 
 static inline void
-endpoint_accept_stream_call (Fixture *f, int listener, Peer *peer, char id[96])
+endpoint_accept_stream_call (Fixture *f, int listener, TestConnection *connection, char id[96])
 {
-  endpoint_accept_call (f, listener, peer);
-  FIXTURE_WAIT_UNTIL (f, peer_has_received (peer, "\"request_id\":\""));
-  FIXTURE_WAIT_UNTIL (f, peer_has_received (peer, "}"));
-  sscanf (strstr (peer->text, "\"request_id\":\"") + 14, "%95[^\"]", id);
+  endpoint_accept_call (f, listener, connection);
+  FIXTURE_WAIT_UNTIL (f, connection_has_received (connection, "\"request_id\":\""));
+  FIXTURE_WAIT_UNTIL (f, connection_has_received (connection, "}"));
+  sscanf (strstr (connection->text, "\"request_id\":\"") + 14, "%95[^\"]", id);
 }
 
 static inline void
-endpoint_send_stream_head (Peer *peer)
+endpoint_send_stream_head (TestConnection *connection)
 {
-  peer_send (peer, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
-                   "Transfer-Encoding: chunked\r\n\r\n");
+  connection_send_text (connection, "HTTP/1.1 200 OK\r\nContent-Type: text/event-stream\r\n"
+                                    "Transfer-Encoding: chunked\r\n\r\n");
 }
 
 static inline void
-endpoint_send_chunk (Peer *peer, const char *text)
+endpoint_send_chunk (TestConnection *connection, const char *text)
 {
   char *chunk = lb_asprintf ("%zx\r\n%s\r\n", strlen (text), text);
 
-  peer_send (peer, chunk);
+  connection_send_text (connection, chunk);
   free (chunk);
 }
 
 static inline void
-endpoint_send_token (Peer *peer, const char *id, int offset, const char *text, bool last)
+endpoint_send_token (
+    TestConnection *connection, const char *id, int offset, const char *text, bool last)
 {
   char *event = lb_asprintf ("data: {\"id\":\"%s\",\"choices\":[{\"index\":0,\"text\":\"%s\","
                              "\"finish_reason\":%s}],\"offset\":%d,\"tokens\":1,"
                              "\"weight_version\":40}\n\n",
                              id, text, last ? "\"stop\"" : "null", offset);
 
-  endpoint_send_chunk (peer, event);
+  endpoint_send_chunk (connection, event);
   free (event);
 }
 
 static inline void
-endpoint_send_stream_end (Peer *peer)
+endpoint_send_stream_end (TestConnection *connection)
 {
-  endpoint_send_chunk (peer, "data: [DONE]\n\n");
-  peer_send (peer, "0\r\n\r\n");
+  endpoint_send_chunk (connection, "data: [DONE]\n\n");
+  connection_send_text (connection, "0\r\n\r\n");
 }
 
 /* Applies a configuration with a pool "p" of engines and a service "s" of plain services, one
  * endpoint per address. */
 static inline void
-fixture_configure (Fixture *f, const char *const *engines, const char *const *services)
+fixture_apply_engines_and_services (Fixture *f,
+                                    const char *const *engines,
+                                    const char *const *services)
 {
   LnConfigMessage message = { .base = LN_MESSAGE (LN_CONFIG) };
   struct json_object *object = json_object_new_object ();
@@ -342,7 +348,7 @@
   cr_assert (message.set, "invalid resource set: %s %s", error.where, error.detail);
   json_object_put (object);
   ln_post (f->context.hub, NULL, &message.base, sizeof message);
-  fixture_run_loop_once (f);
+  fixture_run_event_loop_once (f);
   lc_resource_set_free (message.set);
 }
 
--- a/packages/node/tests/steps-fixture.h
+++ b/packages/node/tests/steps-fixture.h
@@ -18,7 +18,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define WAIT_TIMEOUT (30 * LB_SEC)
+#define CLUSTER_WAIT_TIMEOUT (30 * LB_SEC)
 #define MAX_SAMPLES 64
 
 typedef enum
@@ -31,7 +31,7 @@
 /* Wraps the in-memory platform and injects faults. */
 typedef struct
 {
-  LpPlatform platform; /* must be the first member */
+  LpPlatform platform; /* first member, because callbacks cast LpPlatform * to FaultyStore * */
   LpPlatform *inner;
   StoreMode mode;
   int n_writes;
@@ -41,10 +41,10 @@
  * at once with ten tokens, or holds it until the test answers it. */
 typedef struct
 {
-  LnTask task; /* must be the first member */
+  LnTask task; /* first member, because callbacks cast LnTask * to FakeCalls * */
   bool holds_samples;
   int n_samples;          /* number of sample requests received */
-  size_t n_prefix_hashes; /* largest number of prefix hashes in a sample request */
+  size_t n_prefix_hashes; /* largest number of prefix hashes in one received sample request */
   LcRequestId held[MAX_SAMPLES];
   size_t n_held;
 } FakeCalls;
@@ -56,7 +56,7 @@
   FakeCalls calls;
   LnTask *front;
   LnTask *rollouts;
-  bool alive; /* whether the member lists sent to both instances report this one as alive */
+  bool alive; /* value of this instance in the member lists that the test sends */
   bool draining;
 } Instance;
 
@@ -73,7 +73,7 @@
   int status;                /* HTTP status of the last reply */
   char *reply;               /* body of the last reply */
   int n_pending;             /* number of calls without a reply */
-  bool strict; /* the subscription records samples in the store before it delivers them */
+  bool strict; /* the owner of a step must record samples in the store before it delivers them */
 } Cluster;
 
 static inline void faulty_store_transact (LpPlatform *platform,
@@ -122,7 +122,7 @@
 }
 
 static inline void
-lose_store_reply (LbErrorCode error, const LpRow *row, void *user)
+report_store_outcome_unknown (LbErrorCode error, const LpRow *row, void *user)
 {
   DeferredStoreReply *reply = user;
 
@@ -147,8 +147,8 @@
   if (store->mode == STORE_UNAVAILABLE)
     defer_store_reply (reply);
   else if (store->mode == STORE_LOSES_REPLY)
-    store->inner->klass->transact (store->inner, transaction, priority, lose_store_reply,
-                                   lb_memdup (&reply, sizeof reply));
+    store->inner->klass->transact (store->inner, transaction, priority,
+                                   report_store_outcome_unknown, lb_memdup (&reply, sizeof reply));
   else
     store->inner->klass->transact (store->inner, transaction, priority, done, user);
 }
@@ -217,7 +217,7 @@
 }
 
 static inline void
-fake_calls_receive (LnTask *task, const LnMessage *message)
+fake_calls_receive_message (LnTask *task, const LnMessage *message)
 {
   FakeCalls *calls = (FakeCalls *)task;
 
@@ -244,7 +244,7 @@
 }
 
 static const LnTaskClass fake_calls_class
-    = { .name = "calls", .receive = fake_calls_receive, .free = fake_calls_free };
+    = { .name = "calls", .receive = fake_calls_receive_message, .free = fake_calls_free };
 
 static inline void
 cluster_send_member_lists (Cluster *cluster)
@@ -316,13 +316,13 @@
 }
 
 static inline Cluster *
-cluster_new (bool strict)
+cluster_new (bool strict_subscription)
 {
   Cluster *cluster = LB_NEW (Cluster);
 
   signal (SIGPIPE, SIG_IGN);
   lb_log_init (LB_LOG_OFF, 2, "test");
-  cluster->strict = strict;
+  cluster->strict = strict_subscription;
   cluster->base = event_base_new ();
   store_event_base = cluster->base;
   cluster->store.platform.klass = &faulty_store_class;
@@ -361,7 +361,7 @@
 #define CLUSTER_WAIT_UNTIL(cluster, condition)                                                     \
   do                                                                                               \
     {                                                                                              \
-      LbTime end_ = lb_clock_monotonic () + WAIT_TIMEOUT;                                          \
+      LbTime end_ = lb_clock_monotonic () + CLUSTER_WAIT_TIMEOUT;                                  \
       while (!(condition) && lb_clock_monotonic () < end_)                                         \
         cluster_run_event_loop_once (cluster);                                                     \
       cr_assert ((condition), "timed out waiting for: %s", #condition);                            \
@@ -410,7 +410,7 @@
 }
 
 static inline void
-cluster_send_open_step (Cluster *cluster, size_t instance)
+cluster_send_open_step_call (Cluster *cluster, size_t instance)
 {
   cluster_send_step_call (
       cluster, instance, "steps",
@@ -423,12 +423,12 @@
 static inline void
 cluster_open_step (Cluster *cluster, size_t instance)
 {
-  cluster_send_open_step (cluster, instance);
+  cluster_send_open_step_call (cluster, instance);
   CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
 }
 
 static inline void
-cluster_send_pull (Cluster *cluster, size_t instance, int max_samples, int wait_ms)
+cluster_send_pull_call (Cluster *cluster, size_t instance, int max_samples, int wait_ms)
 {
   char *body = lb_asprintf ("{\"step\":1,\"cursor\":\"%s\",\"weight_version\":40,"
                             "\"max_samples\":%d,\"wait_ms\":%d}",
@@ -441,7 +441,7 @@
 /* Records the samples and the cursor of the last reply, like a trainer. Returns the number of
  * samples in the reply. */
 static inline size_t
-cluster_record_samples (Cluster *cluster)
+cluster_record_samples_of_reply (Cluster *cluster)
 {
   struct json_object *reply = json_tokener_parse (cluster->reply);
   struct json_object *cursor = NULL, *samples = NULL, *group = NULL, *index = NULL;
@@ -467,15 +467,15 @@
 static inline size_t
 cluster_pull_samples (Cluster *cluster, size_t instance, int max_samples)
 {
-  cluster_send_pull (cluster, instance, max_samples, 5000);
+  cluster_send_pull_call (cluster, instance, max_samples, 5000);
   CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
   cr_assert_eq (cluster->status, 200, "status %d instead of 200: %s", cluster->status,
                 cluster->reply);
-  return cluster_record_samples (cluster);
+  return cluster_record_samples_of_reply (cluster);
 }
 
 static inline void
-cluster_expect_each_sample_once (const Cluster *cluster)
+cluster_expect_each_sample_delivered_once (const Cluster *cluster)
 {
   for (int i = 0; i < 4; i++)
     cr_assert_eq (cluster->received[i], 1, "sample %d was delivered %d times, expected once", i,
--- a/packages/node/tests/test-calls-start.c
+++ b/packages/node/tests/test-calls-start.c
@@ -5,7 +5,7 @@
 /* A platform that defers the answer to the scan for crash reports until the test sends it. */
 typedef struct
 {
-  LpPlatform platform;   /* must be the first member */
+  LpPlatform platform;   /* first member, because callbacks cast LpPlatform * to SlowStore * */
   LpRowsDone on_scanned; /* NULL: no scan pending */
   void *user;
 } SlowStore;
@@ -51,15 +51,15 @@
 }
 
 static void
-expect_call_is_refused_with (Fixture *f, const char *error)
+expect_call_is_refused_with_error (Fixture *f, const char *error)
 {
-  Peer caller;
+  TestConnection caller;
 
   caller_connect (f, &caller);
   caller_send_post (&caller, "/services/s/order", "", "BAD");
-  FIXTURE_WAIT_UNTIL (f, peer_has_received (&caller, "not_run"));
+  FIXTURE_WAIT_UNTIL (f, connection_has_received (&caller, "not_run"));
   cr_assert (strstr (caller.text, error), "expected %s, got %s", error, caller.text);
-  peer_close (&caller);
+  connection_close (&caller);
 }
 
 /* After a restart of all instances, one instance on a busy machine had its configuration before the
@@ -69,18 +69,18 @@
 {
   SlowStore store = { .platform.klass = &slow_store_class };
   Fixture f;
-  Peer service = { 0 };
+  TestConnection service = { 0 };
   LbName address;
   int listener = fixture_open_listener (address);
 
-  fixture_init (&f);
+  fixture_init_settings_and_event_base (&f);
   f.context.platform = &store.platform;
-  fixture_start_tasks (&f);
-  fixture_configure (&f, NULL, (const char *[]){ address, NULL });
-  expect_call_is_refused_with (&f, "not_ready");
+  fixture_start_front_and_calls (&f);
+  fixture_apply_engines_and_services (&f, NULL, (const char *[]){ address, NULL });
+  expect_call_is_refused_with_error (&f, "not_ready");
   cr_assert (store.on_scanned);
   answer_scan_with_crash_reports (&store, "/order", "BAD");
-  expect_call_is_refused_with (&f, "quarantined");
+  expect_call_is_refused_with_error (&f, "quarantined");
   cr_assert_not (endpoint_try_accept_call (listener, &service),
                  "the call was sent to the endpoint: %s", service.text);
   fixture_clear (&f);
--- a/packages/node/tests/test-calls.c
+++ b/packages/node/tests/test-calls.c
@@ -15,14 +15,14 @@
 {
   const char *addresses[3] = { NULL };
 
-  fixture_init (&s->f);
+  fixture_init_settings_and_event_base (&s->f);
   for (int i = 0; i < n_engines; i++)
     {
       s->listener[i] = fixture_open_listener (s->address[i]);
       addresses[i] = s->address[i];
     }
-  fixture_start_tasks (&s->f);
-  fixture_configure (&s->f, addresses, NULL);
+  fixture_start_front_and_calls (&s->f);
+  fixture_apply_engines_and_services (&s->f, addresses, NULL);
 }
 
 static void
@@ -34,9 +34,9 @@
 /* Accepts the call at the engine to which the daemon sent it and stores the request's id.
  * Returns the index of that engine. */
 static int
-accept_call_at_chosen_engine (Setup *s, Peer *peer, char id[96])
+accept_call_at_chosen_engine (Setup *s, TestConnection *connection, char id[96])
 {
-  Peer candidates[2] = { 0 };
+  TestConnection candidates[2] = { 0 };
   int chosen = -1;
 
   FIXTURE_WAIT_UNTIL (&s->f,
@@ -44,16 +44,16 @@
                                 : endpoint_try_accept_call (s->listener[1], &candidates[1]) ? 1
                                                                                             : -1)
                           >= 0);
-  *peer = candidates[chosen];
-  FIXTURE_WAIT_UNTIL (&s->f, peer_has_received (peer, "\"request_id\":\""));
-  sscanf (strstr (peer->text, "\"request_id\":\"") + 14, "%95[^\"]", id);
+  *connection = candidates[chosen];
+  FIXTURE_WAIT_UNTIL (&s->f, connection_has_received (connection, "\"request_id\":\""));
+  sscanf (strstr (connection->text, "\"request_id\":\"") + 14, "%95[^\"]", id);
   return chosen;
 }
 
 Test (calls, stream_is_forwarded_without_the_engines_request_id)
 {
   Setup s;
-  Peer caller, engine;
+  TestConnection caller, engine;
   char id[96];
 
   setup_init_with_engines (&s, 1);
@@ -62,17 +62,17 @@
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, " one"));
   cr_assert_not (strstr (caller.text, id));
   cr_assert_not (strstr (caller.text, "[DONE]"));
   endpoint_send_token (&engine, id, 1, " two", true);
   endpoint_send_stream_end (&engine);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "data: [DONE]"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "data: [DONE]"));
   cr_assert (strstr (caller.text, "x-endpoint: e0"));
   cr_assert (strstr (caller.text, " two"));
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
-  peer_close (&engine);
-  peer_close (&caller);
+  connection_close (&engine);
+  connection_close (&caller);
   setup_clear (&s);
 }
 
@@ -80,35 +80,35 @@
 Test (calls, stream_to_an_http_1_0_caller_is_not_chunked)
 {
   Setup s;
-  Peer caller, engine;
+  TestConnection caller, engine;
   char id[96];
 
   setup_init_with_engines (&s, 1);
   caller_connect (&s.f, &caller);
   char *text = lb_asprintf ("POST /v1/completions HTTP/1.0\r\nContent-Length: %zu\r\n\r\n%s",
                             strlen (STREAM_BODY), STREAM_BODY);
-  peer_send (&caller, text);
+  connection_send_text (&caller, text);
   free (text);
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", true);
   endpoint_send_stream_end (&engine);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&caller));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_is_closed_by_daemon (&caller));
   cr_assert_not (strstr (caller.text, "chunked"), "expected no chunked reply, got %s", caller.text);
   cr_assert_not (strstr (caller.text, "Content-Length"), "expected no Content-Length, got %s",
                  caller.text);
   cr_assert (strstr (caller.text, "\r\n\r\ndata: {"), "expected an event after the header, got %s",
              caller.text);
   cr_assert_str_eq (caller.text + caller.length - strlen ("data: [DONE]\n\n"), "data: [DONE]\n\n");
-  peer_close (&engine);
-  peer_close (&caller);
+  connection_close (&engine);
+  connection_close (&caller);
   setup_clear (&s);
 }
 
 Test (calls, buffered_reply_has_text_usage_and_versions)
 {
   Setup s;
-  Peer caller, engine;
+  TestConnection caller, engine;
   char id[96];
 
   setup_init_with_engines (&s, 1);
@@ -119,13 +119,13 @@
   endpoint_send_token (&engine, id, 0, " one", false);
   endpoint_send_token (&engine, id, 1, " two", true);
   endpoint_send_stream_end (&engine);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "completion_tokens"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "completion_tokens"));
   cr_assert (strstr (caller.text, "\"text\":\" one two\""), "expected text ' one two', got %s",
              caller.text);
   cr_assert (strstr (caller.text, "x-weight-versions: 40"));
   cr_assert (strstr (caller.text, "\"completion_tokens\":2"));
-  peer_close (&engine);
-  peer_close (&caller);
+  connection_close (&engine);
+  connection_close (&caller);
   setup_clear (&s);
 }
 
@@ -134,7 +134,7 @@
 Test (calls, caller_disconnect_cancels_the_engines_stream)
 {
   Setup s;
-  Peer caller, engine;
+  TestConnection caller, engine;
   char id[96];
 
   setup_init_with_engines (&s, 1);
@@ -143,11 +143,11 @@
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, " one"));
-  peer_close (&caller);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&engine));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, " one"));
+  connection_close (&caller);
+  FIXTURE_WAIT_UNTIL (&s.f, connection_is_closed_by_daemon (&engine));
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
-  peer_close (&engine);
+  connection_close (&engine);
   setup_clear (&s);
 }
 
@@ -157,7 +157,7 @@
 Test (calls, caller_disconnect_while_the_answer_ends_does_not_crash)
 {
   Setup s;
-  Peer caller, engine;
+  TestConnection caller, engine;
   char id[96];
 
   setup_init_with_engines (&s, 1);
@@ -169,9 +169,9 @@
       endpoint_send_stream_head (&engine);
       endpoint_send_token (&engine, id, 0, " one", true);
       endpoint_send_stream_end (&engine);
-      peer_close (&caller);
+      connection_close (&caller);
       FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
-      peer_close (&engine);
+      connection_close (&engine);
     }
   setup_clear (&s);
 }
@@ -182,7 +182,7 @@
 Test (calls, event_with_another_requests_id_is_dropped)
 {
   Setup s;
-  Peer caller, engine;
+  TestConnection caller, engine;
   char id[96];
 
   setup_init_with_engines (&s, 1);
@@ -191,13 +191,13 @@
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, "other-1.1", 0, " secret", false);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "error"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "error"));
   cr_assert_not (strstr (caller.text, "secret"));
   cr_assert (strstr (caller.text, "outcome_unknown"), "expected outcome_unknown, got %s",
              caller.text);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&engine));
-  peer_close (&engine);
-  peer_close (&caller);
+  FIXTURE_WAIT_UNTIL (&s.f, connection_is_closed_by_daemon (&engine));
+  connection_close (&engine);
+  connection_close (&caller);
   setup_clear (&s);
 }
 
@@ -206,7 +206,7 @@
 Test (calls, event_with_a_null_id_ends_the_call_as_outcome_unknown)
 {
   Setup s;
-  Peer caller, engine;
+  TestConnection caller, engine;
   char id[96];
 
   setup_init_with_engines (&s, 1);
@@ -216,9 +216,9 @@
   endpoint_send_stream_head (&engine);
   endpoint_send_chunk (&engine,
                        "data: {\"id\":null,\"choices\":[{\"index\":0,\"text\":\"x\"}]}\n\n");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
-  peer_close (&engine);
-  peer_close (&caller);
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "outcome_unknown"));
+  connection_close (&engine);
+  connection_close (&caller);
   setup_clear (&s);
 }
 
@@ -227,7 +227,7 @@
 Test (calls, call_may_have_run_after_an_error_reply_with_a_null_type)
 {
   Setup s;
-  Peer caller, engine;
+  TestConnection caller, engine;
   char id[96];
   static const char body[] = "{\"error\":{\"type\":null}}";
 
@@ -237,12 +237,12 @@
   accept_call_at_chosen_engine (&s, &engine, id);
   char *reply
       = lb_asprintf ("HTTP/1.1 503 Busy\r\nContent-Length: %zu\r\n\r\n%s", sizeof body - 1, body);
-  peer_send (&engine, reply);
+  connection_send_text (&engine, reply);
   free (reply);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "endpoint_failed"));
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "\"not_run\":false"));
-  peer_close (&engine);
-  peer_close (&caller);
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "endpoint_failed"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "\"not_run\":false"));
+  connection_close (&engine);
+  connection_close (&caller);
   setup_clear (&s);
 }
 
@@ -253,34 +253,35 @@
 Test (calls, silent_stream_is_resumed_at_its_last_offset)
 {
   Setup s;
-  Peer caller, engine, resumed;
+  TestConnection caller, engine, resumed;
   char id[96];
 
-  fixture_init (&s.f);
+  fixture_init_settings_and_event_base (&s.f);
   s.f.settings.calls.stream_silence_ms = 1000;
   s.f.settings.calls.retry_budget = 1;
   s.listener[0] = fixture_open_listener (s.address[0]);
   s.listener[1] = fixture_open_listener (s.address[1]);
-  fixture_start_tasks (&s.f);
-  fixture_configure (&s.f, (const char *[]){ s.address[0], s.address[1], NULL }, NULL);
+  fixture_start_front_and_calls (&s.f);
+  fixture_apply_engines_and_services (&s.f, (const char *[]){ s.address[0], s.address[1], NULL },
+                                      NULL);
   caller_connect (&s.f, &caller);
   caller_send_post (&caller, "/v1/completions", "", STREAM_BODY);
   accept_call_at_chosen_engine (&s, &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, " one"));
   accept_call_at_chosen_engine (&s, &resumed, id);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&resumed, "\"offset\":1"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&resumed, "\"offset\":1"));
   cr_assert (strstr (resumed.text, "\"text\":\" one\""),
              "expected the received text ' one', got %s", resumed.text);
   endpoint_send_stream_head (&resumed);
   endpoint_send_token (&resumed, id, 1, " two", true);
   endpoint_send_stream_end (&resumed);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "data: [DONE]"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "data: [DONE]"));
   cr_assert (strstr (caller.text, " two"));
-  peer_close (&engine);
-  peer_close (&resumed);
-  peer_close (&caller);
+  connection_close (&engine);
+  connection_close (&resumed);
+  connection_close (&caller);
   setup_clear (&s);
 }
 
@@ -289,7 +290,7 @@
 Test (calls, stream_without_end_marker_is_an_error)
 {
   Setup s;
-  Peer caller, engine;
+  TestConnection caller, engine;
   char id[96];
 
   setup_init_with_engines (&s, 1);
@@ -298,12 +299,12 @@
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  peer_send (&engine, "0\r\n\r\n");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "\"error\""));
+  connection_send_text (&engine, "0\r\n\r\n");
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "\"error\""));
   cr_assert_not (strstr (caller.text, "[DONE]"));
   cr_assert (strstr (caller.text, "\"not_run\":false"));
-  peer_close (&engine);
-  peer_close (&caller);
+  connection_close (&engine);
+  connection_close (&caller);
   setup_clear (&s);
 }
 
@@ -312,18 +313,18 @@
 Test (calls, refused_connection_is_reported_as_not_run)
 {
   Setup s;
-  Peer caller;
+  TestConnection caller;
 
   setup_init_with_engines (&s, 1);
   close (s.listener[0]);
   caller_connect (&s.f, &caller);
   caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\nx-deadline-ms: 1000\r\n",
                     COMPLETION_BODY (""));
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "not_run"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "not_run"));
   cr_assert (strstr (caller.text, "\"not_run\":true"), "expected not_run true, got %s",
              caller.text);
   cr_assert (strstr (caller.text, "x-not-run: 1"));
-  peer_close (&caller);
+  connection_close (&caller);
   setup_clear (&s);
 }
 
@@ -332,21 +333,21 @@
 Test (calls, connection_lost_after_sending_is_reported_as_outcome_unknown)
 {
   Setup s;
-  Peer caller, engine;
-  Peer other = { 0 };
+  TestConnection caller, engine;
+  TestConnection other = { 0 };
   char id[96];
 
   setup_init_with_engines (&s, 2);
   caller_connect (&s.f, &caller);
   caller_send_post (&caller, "/v1/completions", "x-not-repeatable: 1\r\n", COMPLETION_BODY (""));
   int chosen = accept_call_at_chosen_engine (&s, &engine, id);
-  peer_close (&engine);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
+  connection_close (&engine);
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "outcome_unknown"));
   cr_assert (strstr (caller.text, "\"not_run\":false"), "expected not_run false, got %s",
              caller.text);
   cr_assert_not (strstr (caller.text, "x-not-run"));
   cr_assert_not (endpoint_try_accept_call (s.listener[1 - chosen], &other));
-  peer_close (&caller);
+  connection_close (&caller);
   setup_clear (&s);
 }
 
@@ -355,7 +356,7 @@
 Test (calls, refused_call_is_sent_to_another_engine)
 {
   Setup s;
-  Peer caller, engine, next;
+  TestConnection caller, engine, next;
   char id[96];
   static const char body[] = "{\"error\":{\"type\":\"not_started\"}}";
 
@@ -365,26 +366,26 @@
   accept_call_at_chosen_engine (&s, &engine, id);
   char *reply
       = lb_asprintf ("HTTP/1.1 503 Busy\r\nContent-Length: %zu\r\n\r\n%s", sizeof body - 1, body);
-  peer_send (&engine, reply);
+  connection_send_text (&engine, reply);
   free (reply);
   accept_call_at_chosen_engine (&s, &next, id);
   endpoint_send_stream_head (&next);
   endpoint_send_token (&next, id, 0, " one", true);
   endpoint_send_stream_end (&next);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "\"text\":\" one\""));
-  peer_close (&engine);
-  peer_close (&next);
-  peer_close (&caller);
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "\"text\":\" one\""));
+  connection_close (&engine);
+  connection_close (&next);
+  connection_close (&caller);
   setup_clear (&s);
 }
 
 static void
-reply_with_one_token (Setup *s, Peer *engine, const char *id, const char *text)
+reply_with_one_token (Setup *s, TestConnection *engine, const char *id, const char *text)
 {
   endpoint_send_stream_head (engine);
   endpoint_send_token (engine, id, 0, text, true);
   endpoint_send_stream_end (engine);
-  FIXTURE_WAIT_UNTIL (&s->f, peer_read (engine));
+  FIXTURE_WAIT_UNTIL (&s->f, connection_receive_available (engine));
 }
 
 /* A middlebox dropped the state of all idle connections to an endpoint, so requests on them get
@@ -393,15 +394,15 @@
 Test (calls, timeout_closes_all_idle_connections_to_the_address)
 {
   Setup s;
-  Peer caller, other, idle[2], fresh;
+  TestConnection caller, other, idle[2], fresh;
   char id[96];
 
-  fixture_init (&s.f);
+  fixture_init_settings_and_event_base (&s.f);
   s.f.settings.calls.stream_silence_ms = 1000;
   s.f.settings.calls.retry_budget = 1;
   s.listener[0] = fixture_open_listener (s.address[0]);
-  fixture_start_tasks (&s.f);
-  fixture_configure (&s.f, (const char *[]){ s.address[0], NULL }, NULL);
+  fixture_start_front_and_calls (&s.f);
+  fixture_apply_engines_and_services (&s.f, (const char *[]){ s.address[0], NULL }, NULL);
   caller_connect (&s.f, &caller);
   caller_connect (&s.f, &other);
   caller_send_post (&caller, "/v1/completions", "", COMPLETION_BODY (""));
@@ -412,28 +413,29 @@
   reply_with_one_token (&s, &idle[0], id, " one");
   reply_with_one_token (&s, &idle[1], second, " one");
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
-  peer_clear_text (&caller);
-  peer_clear_text (&idle[0]);
-  peer_clear_text (&idle[1]);
+  connection_clear_received_text (&caller);
+  connection_clear_received_text (&idle[0]);
+  connection_clear_received_text (&idle[1]);
 
   caller_send_post (&caller, "/v1/completions", "", COMPLETION_BODY (""));
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&idle[0], "POST /v1")
-                                || peer_has_received (&idle[1], "POST /v1"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&idle[0], "POST /v1")
+                                || connection_has_received (&idle[1], "POST /v1"));
   endpoint_accept_stream_call (&s.f, s.listener[0], &fresh, id);
   reply_with_one_token (&s, &fresh, id, " two");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "\"text\":\" two\""));
-  FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&idle[0]) && peer_is_closed (&idle[1]));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "\"text\":\" two\""));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_is_closed_by_daemon (&idle[0])
+                                && connection_is_closed_by_daemon (&idle[1]));
   cr_assert_not (strstr (idle[0].text, "POST") && strstr (idle[1].text, "POST"));
-  peer_close (&idle[0]);
-  peer_close (&idle[1]);
-  peer_close (&fresh);
-  peer_close (&caller);
-  peer_close (&other);
+  connection_close (&idle[0]);
+  connection_close (&idle[1]);
+  connection_close (&fresh);
+  connection_close (&caller);
+  connection_close (&other);
   setup_clear (&s);
 }
 
 static void
-clear_members_message (LnMessage *message)
+free_member_list (LnMessage *message)
 {
   free (((LnMembersMessage *)message)->members);
 }
@@ -445,7 +447,7 @@
 {
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS), .n_members = 4 };
 
-  message.base.clear = clear_members_message;
+  message.base.clear = free_member_list;
   message.members = LB_NEW_ARRAY (LnMember, 4);
   for (int i = 0; i < 4; i++)
     {
@@ -456,7 +458,7 @@
       message.members[i].draining = i == 3;
     }
   LN_POST (s->f.context.hub, NULL, message);
-  fixture_run_loop_once (&s->f);
+  fixture_run_event_loop_once (&s->f);
 }
 
 /* The instance is drained while an answer streams. New calls are refused as "not run", the stream
@@ -464,7 +466,7 @@
 Test (calls, drain_refuses_new_calls_and_lets_streams_finish)
 {
   Setup s;
-  Peer caller, late, engine;
+  TestConnection caller, late, engine;
   char id[96];
 
   setup_init_with_engines (&s, 1);
@@ -473,34 +475,34 @@
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, " one"));
   post_members_of_four_instances (&s);
   ln_hub_drain_tasks (s.f.context.hub);
   caller_connect (&s.f, &late);
   caller_send_post (&late, "/v1/completions", "", COMPLETION_BODY (""));
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&late, "draining"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&late, "draining"));
   cr_assert (strstr (late.text, "x-not-run: 1"));
   cr_assert (strstr (late.text, "x-entry-stale: 1"));
   cr_assert (strstr (late.text, "x-entry: 10.0.0.2:80\r\n"), "expected entry 10.0.0.2:80, got %s",
              late.text);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_is_closed (&late));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_is_closed_by_daemon (&late));
   cr_assert_not (ln_hub_is_idle (s.f.context.hub));
   endpoint_send_token (&engine, id, 1, " two", true);
   endpoint_send_stream_end (&engine);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "data: [DONE]"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "data: [DONE]"));
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
-  peer_close (&engine);
-  peer_close (&caller);
-  peer_close (&late);
+  connection_close (&engine);
+  connection_close (&caller);
+  connection_close (&late);
   setup_clear (&s);
 }
 
 /* Sends as much of the text after its first *sent bytes as the socket accepts, and adds the
  * number of bytes sent to *sent; returns true when the whole text was sent. */
 static bool
-send_available_bytes (Peer *peer, const char *text, size_t length, size_t *sent)
+send_available_bytes (TestConnection *connection, const char *text, size_t length, size_t *sent)
 {
-  ssize_t n = send (peer->fd, text + *sent, length - *sent, 0);
+  ssize_t n = send (connection->fd, text + *sent, length - *sent, 0);
 
   if (n > 0)
     *sent += (size_t)n;
@@ -513,7 +515,7 @@
 Test (calls, caller_that_stops_reading_counts_as_disconnected)
 {
   Setup s;
-  Peer caller, engine;
+  TestConnection caller, engine;
   char id[96];
   const int text_length = 400000;
   char *text = lb_malloc ((size_t)text_length + 1);
@@ -535,7 +537,7 @@
       char *chunk = lb_asprintf ("%zx\r\n%s\r\n", strlen (event), event);
       size_t sent = 0;
       FIXTURE_WAIT_UNTIL (&s.f, send_available_bytes (&engine, chunk, strlen (chunk), &sent)
-                                    || peer_is_closed (&engine));
+                                    || connection_is_closed_by_daemon (&engine));
       free (event);
       free (chunk);
     }
@@ -543,8 +545,8 @@
              offset * text_length >> 20);
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
   free (text);
-  peer_close (&engine);
-  peer_close (&caller);
+  connection_close (&engine);
+  connection_close (&caller);
   setup_clear (&s);
 }
 
@@ -553,7 +555,7 @@
 Test (calls, caller_of_a_slow_stream_gets_keep_alives)
 {
   Setup s;
-  Peer caller, engine;
+  TestConnection caller, engine;
   char id[96];
 
   setup_init_with_engines (&s, 1);
@@ -562,10 +564,10 @@
   endpoint_accept_stream_call (&s.f, s.listener[0], &engine, id);
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", false);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, " one"));
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, ": keep-alive"));
-  peer_close (&engine);
-  peer_close (&caller);
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, ": keep-alive"));
+  connection_close (&engine);
+  connection_close (&caller);
   setup_clear (&s);
 }
 
@@ -574,47 +576,48 @@
 Test (calls, reply_whose_body_ends_by_close_is_outcome_unknown)
 {
   Fixture f;
-  Peer caller, service;
+  TestConnection caller, service;
   LbName address;
 
-  fixture_init (&f);
+  fixture_init_settings_and_event_base (&f);
   int listener = fixture_open_listener (address);
-  fixture_start_tasks (&f);
-  fixture_configure (&f, NULL, (const char *[]){ address, NULL });
+  fixture_start_front_and_calls (&f);
+  fixture_apply_engines_and_services (&f, NULL, (const char *[]){ address, NULL });
   caller_connect (&f, &caller);
   caller_send_post (&caller, "/services/s/orders", "", "a=b");
   endpoint_accept_call (&f, listener, &service);
-  peer_send (&service, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf an or");
-  peer_close (&service);
-  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "outcome_unknown"));
+  connection_send_text (&service, "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\nhalf an or");
+  connection_close (&service);
+  FIXTURE_WAIT_UNTIL (&f, connection_has_received (&caller, "outcome_unknown"));
   cr_assert_not (strstr (caller.text, "half"));
-  peer_close (&caller);
+  connection_close (&caller);
   fixture_clear (&f);
 }
 
 Test (calls, service_call_and_reply_are_forwarded)
 {
   Fixture f;
-  Peer caller, service;
+  TestConnection caller, service;
   LbName address;
 
-  fixture_init (&f);
+  fixture_init_settings_and_event_base (&f);
   int listener = fixture_open_listener (address);
-  fixture_start_tasks (&f);
-  fixture_configure (&f, NULL, (const char *[]){ address, NULL });
+  fixture_start_front_and_calls (&f);
+  fixture_apply_engines_and_services (&f, NULL, (const char *[]){ address, NULL });
   caller_connect (&f, &caller);
   caller_send_post (&caller, "/services/s/orders?shop=4",
                     "x-shop: saigon\r\nContent-Type: application/x-www-form-urlencoded\r\n", "a=b");
   endpoint_accept_call (&f, listener, &service);
-  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&service, "a=b"));
+  FIXTURE_WAIT_UNTIL (&f, connection_has_received (&service, "a=b"));
   cr_assert (strstr (service.text, "POST /orders?shop=4 HTTP/1.1"),
              "expected path /orders?shop=4, got %s", service.text);
   cr_assert (strstr (service.text, "x-shop: saigon"));
-  peer_send (&service, "HTTP/1.1 418 Teapot\r\nx-kind: short\r\nContent-Length: 5\r\n\r\nstout");
-  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "stout"));
+  connection_send_text (&service,
+                        "HTTP/1.1 418 Teapot\r\nx-kind: short\r\nContent-Length: 5\r\n\r\nstout");
+  FIXTURE_WAIT_UNTIL (&f, connection_has_received (&caller, "stout"));
   cr_assert (strstr (caller.text, " 418 "));
   cr_assert (strstr (caller.text, "x-kind: short"));
-  peer_close (&service);
-  peer_close (&caller);
+  connection_close (&service);
+  connection_close (&caller);
   fixture_clear (&f);
 }
--- a/packages/node/tests/test-claims.c
+++ b/packages/node/tests/test-claims.c
@@ -41,7 +41,7 @@
 }
 
 static void
-run_loop_until (struct event_base *base, const bool *condition)
+run_event_loop_until (struct event_base *base, const bool *condition)
 {
   LbTime deadline = lb_clock_monotonic () + 20 * LB_SEC;
 
@@ -59,7 +59,7 @@
   ScanResult scan = { 0 };
 
   platform->klass->scan (platform, "claim/", on_claim_rows_scanned, &scan);
-  run_loop_until (base, &scan.is_done);
+  run_event_loop_until (base, &scan.is_done);
   return scan.error == LB_OK;
 }
 
@@ -75,7 +75,7 @@
   LbTime deadline = lb_clock_monotonic () + 20 * LB_SEC;
 
   ln_claims_claim_idempotency_key (claims, "shop", "k1", "i1.a.1", 0, on_key_claimed, &first);
-  run_loop_until (base, &first.is_done);
+  run_event_loop_until (base, &first.is_done);
   cr_assert (first.is_ours);
   while (store_has_claim_rows (base, platform) && lb_clock_monotonic () < deadline)
     usleep (1000);
@@ -84,7 +84,7 @@
   ClaimResult second = { 0 };
   ln_claims_claim_idempotency_key (claims, "shop", "k1", "i1.a.1", LB_TIME_NEVER, on_key_claimed,
                                    &second);
-  run_loop_until (base, &second.is_done);
+  run_event_loop_until (base, &second.is_done);
   deadline = lb_clock_monotonic () + 3 * LB_SEC;
   while (lb_clock_monotonic () < deadline)
     cr_assert (store_has_claim_rows (base, platform));
--- a/packages/node/tests/test-crashes.c
+++ b/packages/node/tests/test-crashes.c
@@ -20,7 +20,7 @@
  * unavailable. */
 typedef struct
 {
-  LpPlatform platform; /* must be the first member */
+  LpPlatform platform; /* first member, because callbacks cast LpPlatform * to Store * */
   LpRow rows[MAX_ROWS];
   size_t n_rows;
   int64_t version;
@@ -29,13 +29,13 @@
 } Store;
 
 static Store *
-get_store (LpPlatform *platform)
+get_fake_store (LpPlatform *platform)
 {
   return (Store *)platform;
 }
 
 static LpRow *
-find_row (Store *store, const char *key)
+find_fake_store_row (Store *store, const char *key)
 {
   for (size_t i = 0; i < store->n_rows; i++)
     if (strcmp (store->rows[i].key, key) == 0)
@@ -44,9 +44,9 @@
 }
 
 static void
-put_row (Store *store, const char *key, const char *value)
+put_fake_store_row (Store *store, const char *key, const char *value)
 {
-  LpRow *row = find_row (store, key);
+  LpRow *row = find_fake_store_row (store, key);
 
   if (!row)
     {
@@ -66,11 +66,11 @@
                      void *user)
 {
   (void)priority;
-  Store *store = get_store (platform);
+  Store *store = get_fake_store (platform);
   const LpRow answer = { .key = transaction->puts[0].key, .version = store->version + 1 };
 
   if (!store->is_unavailable)
-    put_row (store, transaction->puts[0].key, transaction->puts[0].value);
+    put_fake_store_row (store, transaction->puts[0].key, transaction->puts[0].value);
   done (store->is_unavailable ? LB_ERROR_STORE_AWAY : LB_OK, &answer, user);
 }
 
@@ -85,7 +85,7 @@
   (void)prefix;
   (void)from;
   (void)limit;
-  Store *store = get_store (platform);
+  Store *store = get_fake_store (platform);
 
   if (store->is_unavailable)
     done (LB_ERROR_STORE_AWAY, NULL, 0, 0, user);
@@ -102,7 +102,7 @@
                   void *user)
 {
   (void)wait;
-  Store *store = get_store (platform);
+  Store *store = get_fake_store (platform);
   LpRow changed[MAX_ROWS];
   size_t n = 0;
 
@@ -117,7 +117,7 @@
 }
 
 static int64_t
-fake_store_clock_ms (const LpPlatform *platform)
+fake_store_get_clock_ms (const LpPlatform *platform)
 {
   return ((const Store *)platform)->now_ms;
 }
@@ -126,7 +126,7 @@
                                              .transact = fake_store_transact,
                                              .list = fake_store_list,
                                              .watch = fake_store_watch,
-                                             .store_clock_ms = fake_store_clock_ms };
+                                             .store_clock_ms = fake_store_get_clock_ms };
 
 /* Replaces the task "peers", which sends frames to other instances: counts the frames and keeps
  * the last one. */
@@ -138,7 +138,7 @@
 } FakePeers;
 
 static void
-fake_peers_receive (LnTask *task, const LnMessage *message)
+fake_peers_record_frame (LnTask *task, const LnMessage *message)
 {
   FakePeers *peers = (FakePeers *)task;
   const LnPeerMessage *frame = (const LnPeerMessage *)message;
@@ -157,9 +157,10 @@
 }
 
 static const LnTaskClass peers_class
-    = { .name = "peers", .receive = fake_peers_receive, .free = fake_peers_free };
+    = { .name = "peers", .receive = fake_peers_record_frame, .free = fake_peers_free };
 
-/* The parts of an instance that share and count crashes of endpoints. */
+/* An instance reduced to the parts that count crashes of endpoints and share them with other
+ * instances. */
 typedef struct
 {
   LnContext context;
@@ -198,19 +199,19 @@
 }
 
 static void
-tick_crash_reports (Instance *instance)
+exchange_crash_reports_with_store (Instance *instance)
 {
   ln_crashes_tick (instance->crashes, lb_clock_monotonic ());
 }
 
 static void
-report_crash (Instance *instance, const char *endpoint, LcFingerprint fingerprint)
+report_endpoint_crash (Instance *instance, const char *endpoint, LcFingerprint fingerprint)
 {
   ln_crashes_report_crash (instance->crashes, endpoint, lb_clock_monotonic (), &fingerprint, 1);
 }
 
 static bool
-is_quarantined (const Instance *instance, LcFingerprint fingerprint)
+is_request_quarantined (const Instance *instance, LcFingerprint fingerprint)
 {
   return lc_quarantine_ends_at (instance->quarantine, fingerprint) > 0;
 }
@@ -223,29 +224,29 @@
 } Cluster;
 
 static void
-cluster_init (Cluster *w)
+cluster_init_with_two_instances (Cluster *cluster)
 {
-  memset (w, 0, sizeof *w);
-  w->base = event_base_new ();
-  w->store.platform.klass = &store_class;
-  w->store.now_ms = STORE_START_MS;
-  instance_init (&w->a, w->base, &w->store.platform, "a");
-  instance_init (&w->b, w->base, &w->store.platform, "b");
-  tick_crash_reports (&w->a);
-  tick_crash_reports (&w->b);
+  memset (cluster, 0, sizeof *cluster);
+  cluster->base = event_base_new ();
+  cluster->store.platform.klass = &store_class;
+  cluster->store.now_ms = STORE_START_MS;
+  instance_init (&cluster->a, cluster->base, &cluster->store.platform, "a");
+  instance_init (&cluster->b, cluster->base, &cluster->store.platform, "b");
+  exchange_crash_reports_with_store (&cluster->a);
+  exchange_crash_reports_with_store (&cluster->b);
 }
 
 static void
-cluster_clear (Cluster *w)
+cluster_clear (Cluster *cluster)
 {
-  instance_clear (&w->a);
-  instance_clear (&w->b);
-  for (size_t i = 0; i < w->store.n_rows; i++)
+  instance_clear (&cluster->a);
+  instance_clear (&cluster->b);
+  for (size_t i = 0; i < cluster->store.n_rows; i++)
     {
-      free ((char *)w->store.rows[i].key);
-      free ((char *)w->store.rows[i].value);
+      free ((char *)cluster->store.rows[i].key);
+      free ((char *)cluster->store.rows[i].value);
     }
-  event_base_free (w->base);
+  event_base_free (cluster->base);
 }
 
 /* Three endpoints crash while they run the same request, which went to two instances. Neither
@@ -253,110 +254,110 @@
  * instance that starts afterwards. */
 Test (crashes, reports_are_shared_through_the_store)
 {
-  Cluster w;
+  Cluster cluster;
   Instance fresh;
 
-  cluster_init (&w);
-  report_crash (&w.a, "e1", BAD_REQUEST);
-  report_crash (&w.b, "e2", BAD_REQUEST);
-  report_crash (&w.a, "e3", BAD_REQUEST);
-  tick_crash_reports (&w.a);
-  tick_crash_reports (&w.b);
-  cr_assert (is_quarantined (&w.a, BAD_REQUEST));
-  cr_assert (is_quarantined (&w.b, BAD_REQUEST));
-  cr_assert_eq (w.a.peers->n_frames + w.b.peers->n_frames, 0,
+  cluster_init_with_two_instances (&cluster);
+  report_endpoint_crash (&cluster.a, "e1", BAD_REQUEST);
+  report_endpoint_crash (&cluster.b, "e2", BAD_REQUEST);
+  report_endpoint_crash (&cluster.a, "e3", BAD_REQUEST);
+  exchange_crash_reports_with_store (&cluster.a);
+  exchange_crash_reports_with_store (&cluster.b);
+  cr_assert (is_request_quarantined (&cluster.a, BAD_REQUEST));
+  cr_assert (is_request_quarantined (&cluster.b, BAD_REQUEST));
+  cr_assert_eq (cluster.a.peers->n_frames + cluster.b.peers->n_frames, 0,
                 "expected no frames, as the platform has watches");
-  instance_init (&fresh, w.base, &w.store.platform, "a");
-  tick_crash_reports (&fresh);
-  cr_assert (is_quarantined (&fresh, BAD_REQUEST));
+  instance_init (&fresh, cluster.base, &cluster.store.platform, "a");
+  exchange_crash_reports_with_store (&fresh);
+  cr_assert (is_request_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
-  cluster_clear (&w);
+  cluster_clear (&cluster);
 }
 
 /* The store is unavailable while endpoints crash. The reports are written once the store is
  * available again. */
 Test (crashes, reports_are_written_when_the_store_is_back)
 {
-  Cluster w;
-
-  cluster_init (&w);
-  w.store.is_unavailable = true;
-  report_crash (&w.a, "e1", BAD_REQUEST);
-  report_crash (&w.a, "e2", BAD_REQUEST);
-  report_crash (&w.a, "e3", BAD_REQUEST);
-  tick_crash_reports (&w.a);
-  cr_assert (is_quarantined (&w.a, BAD_REQUEST));
-  cr_assert_eq (w.store.n_rows, 0);
-  w.store.is_unavailable = false;
-  tick_crash_reports (&w.a);
-  cr_assert_eq (w.store.n_rows, 3);
+  Cluster cluster;
+
+  cluster_init_with_two_instances (&cluster);
+  cluster.store.is_unavailable = true;
+  report_endpoint_crash (&cluster.a, "e1", BAD_REQUEST);
+  report_endpoint_crash (&cluster.a, "e2", BAD_REQUEST);
+  report_endpoint_crash (&cluster.a, "e3", BAD_REQUEST);
+  exchange_crash_reports_with_store (&cluster.a);
+  cr_assert (is_request_quarantined (&cluster.a, BAD_REQUEST));
+  cr_assert_eq (cluster.store.n_rows, 0);
+  cluster.store.is_unavailable = false;
+  exchange_crash_reports_with_store (&cluster.a);
+  cr_assert_eq (cluster.store.n_rows, 3);
   usleep (150000);
-  tick_crash_reports (&w.b);
-  tick_crash_reports (&w.b);
-  cr_assert (is_quarantined (&w.b, BAD_REQUEST));
-  cluster_clear (&w);
+  exchange_crash_reports_with_store (&cluster.b);
+  exchange_crash_reports_with_store (&cluster.b);
+  cr_assert (is_request_quarantined (&cluster.b, BAD_REQUEST));
+  cluster_clear (&cluster);
 }
 
 /* An instance that starts must ignore crash reports that have expired. Their age is computed
  * with the store's clock, since the clocks of instances differ. */
 Test (crashes, expired_reports_do_not_count)
 {
-  Cluster w;
+  Cluster cluster;
   Instance fresh;
 
-  cluster_init (&w);
-  report_crash (&w.a, "e1", BAD_REQUEST);
-  report_crash (&w.a, "e2", BAD_REQUEST);
-  report_crash (&w.a, "e3", BAD_REQUEST);
-  w.store.now_ms += lc_quarantine_report_lifetime () / LB_MSEC - 1000;
-  instance_init (&fresh, w.base, &w.store.platform, "c");
-  tick_crash_reports (&fresh);
-  cr_assert (is_quarantined (&fresh, BAD_REQUEST));
+  cluster_init_with_two_instances (&cluster);
+  report_endpoint_crash (&cluster.a, "e1", BAD_REQUEST);
+  report_endpoint_crash (&cluster.a, "e2", BAD_REQUEST);
+  report_endpoint_crash (&cluster.a, "e3", BAD_REQUEST);
+  cluster.store.now_ms += lc_quarantine_report_lifetime () / LB_MSEC - 1000;
+  instance_init (&fresh, cluster.base, &cluster.store.platform, "c");
+  exchange_crash_reports_with_store (&fresh);
+  cr_assert (is_request_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
-  w.store.now_ms += 2000;
-  instance_init (&fresh, w.base, &w.store.platform, "c");
-  tick_crash_reports (&fresh);
-  cr_assert_not (is_quarantined (&fresh, BAD_REQUEST));
+  cluster.store.now_ms += 2000;
+  instance_init (&fresh, cluster.base, &cluster.store.platform, "c");
+  exchange_crash_reports_with_store (&fresh);
+  cr_assert_not (is_request_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
-  cluster_clear (&w);
+  cluster_clear (&cluster);
 }
 
 /* Guards against a store that fills with expired reports, since the store never deletes rows by
  * itself. */
-Test (crashes, expired_rows_are_removed)
+Test (crashes, rows_of_expired_reports_are_removed)
 {
-  Cluster w;
+  Cluster cluster;
 
-  cluster_init (&w);
-  report_crash (&w.a, "e1", BAD_REQUEST);
-  cr_assert_not_null (w.store.rows[0].value);
-  ln_crashes_tick (w.a.crashes, lb_clock_monotonic () + lc_quarantine_report_lifetime ());
-  cr_assert_not_null (w.store.rows[0].value,
+  cluster_init_with_two_instances (&cluster);
+  report_endpoint_crash (&cluster.a, "e1", BAD_REQUEST);
+  cr_assert_not_null (cluster.store.rows[0].value);
+  ln_crashes_tick (cluster.a.crashes, lb_clock_monotonic () + lc_quarantine_report_lifetime ());
+  cr_assert_not_null (cluster.store.rows[0].value,
                       "expected the row to be kept for some time after it expires");
-  ln_crashes_tick (w.a.crashes,
+  ln_crashes_tick (cluster.a.crashes,
                    lb_clock_monotonic () + lc_quarantine_report_lifetime () + 700 * LB_SEC);
-  cr_assert_null (w.store.rows[0].value);
-  cluster_clear (&w);
+  cr_assert_null (cluster.store.rows[0].value);
+  cluster_clear (&cluster);
 }
 
 /* Operators remove the rows that keep a request in quarantine, and the request is released at once.
  */
 Test (crashes, rows_removed_by_operators_no_longer_count)
 {
-  Cluster w;
-
-  cluster_init (&w);
-  report_crash (&w.a, "e1", BAD_REQUEST);
-  report_crash (&w.b, "e2", BAD_REQUEST);
-  report_crash (&w.b, "e3", BAD_REQUEST);
-  tick_crash_reports (&w.a);
-  cr_assert (is_quarantined (&w.a, BAD_REQUEST));
-  put_row (&w.store, w.store.rows[1].key, NULL);
-  tick_crash_reports (&w.a);
-  tick_crash_reports (&w.b);
-  cr_assert_not (is_quarantined (&w.a, BAD_REQUEST));
-  cr_assert_not (is_quarantined (&w.b, BAD_REQUEST));
-  cluster_clear (&w);
+  Cluster cluster;
+
+  cluster_init_with_two_instances (&cluster);
+  report_endpoint_crash (&cluster.a, "e1", BAD_REQUEST);
+  report_endpoint_crash (&cluster.b, "e2", BAD_REQUEST);
+  report_endpoint_crash (&cluster.b, "e3", BAD_REQUEST);
+  exchange_crash_reports_with_store (&cluster.a);
+  cr_assert (is_request_quarantined (&cluster.a, BAD_REQUEST));
+  put_fake_store_row (&cluster.store, cluster.store.rows[1].key, NULL);
+  exchange_crash_reports_with_store (&cluster.a);
+  exchange_crash_reports_with_store (&cluster.b);
+  cr_assert_not (is_request_quarantined (&cluster.a, BAD_REQUEST));
+  cr_assert_not (is_request_quarantined (&cluster.b, BAD_REQUEST));
+  cluster_clear (&cluster);
 }
 
 /* All endpoints stop at once while they run a request that many callers send. An instance that
@@ -364,19 +365,19 @@
  * quarantine. */
 Test (crashes, an_answer_at_one_instance_ends_the_quarantine_at_all_instances)
 {
-  Cluster w;
-
-  cluster_init (&w);
-  lc_quarantine_record_answer (w.a.quarantine, GOOD_REQUEST, lb_clock_monotonic ());
-  report_crash (&w.b, "e1", GOOD_REQUEST);
-  report_crash (&w.b, "e2", GOOD_REQUEST);
-  report_crash (&w.b, "e3", GOOD_REQUEST);
-  cr_assert (is_quarantined (&w.b, GOOD_REQUEST));
-  tick_crash_reports (&w.a);
-  tick_crash_reports (&w.b);
-  cr_assert_not (is_quarantined (&w.a, GOOD_REQUEST));
-  cr_assert_not (is_quarantined (&w.b, GOOD_REQUEST));
-  cluster_clear (&w);
+  Cluster cluster;
+
+  cluster_init_with_two_instances (&cluster);
+  lc_quarantine_record_answer (cluster.a.quarantine, GOOD_REQUEST, lb_clock_monotonic ());
+  report_endpoint_crash (&cluster.b, "e1", GOOD_REQUEST);
+  report_endpoint_crash (&cluster.b, "e2", GOOD_REQUEST);
+  report_endpoint_crash (&cluster.b, "e3", GOOD_REQUEST);
+  cr_assert (is_request_quarantined (&cluster.b, GOOD_REQUEST));
+  exchange_crash_reports_with_store (&cluster.a);
+  exchange_crash_reports_with_store (&cluster.b);
+  cr_assert_not (is_request_quarantined (&cluster.a, GOOD_REQUEST));
+  cr_assert_not (is_request_quarantined (&cluster.b, GOOD_REQUEST));
+  cluster_clear (&cluster);
 }
 
 /* A malformed row of a crash report must be ignored, and the other rows must count. */
@@ -390,22 +391,22 @@
                                        "\xff\xfe",
                                        "{\"endpoint\": 3, \"contents\": []}",
                                        "{\"contents\": [null]}" };
-  Cluster w;
+  Cluster cluster;
   char key[64];
 
-  cluster_init (&w);
+  cluster_init_with_two_instances (&cluster);
   for (size_t i = 0; i < sizeof texts / sizeof texts[0]; i++)
     {
       snprintf (key, sizeof key, "crash/all/bad-%zu", i);
-      put_row (&w.store, key, texts[i]);
+      put_fake_store_row (&cluster.store, key, texts[i]);
     }
-  report_crash (&w.b, "e1", BAD_REQUEST);
-  report_crash (&w.b, "e2", BAD_REQUEST);
-  report_crash (&w.b, "e3", BAD_REQUEST);
-  tick_crash_reports (&w.a);
-  cr_assert (is_quarantined (&w.a, BAD_REQUEST));
-  cr_assert_eq (lc_quarantine_count_fingerprints (w.a.quarantine), 1);
-  cluster_clear (&w);
+  report_endpoint_crash (&cluster.b, "e1", BAD_REQUEST);
+  report_endpoint_crash (&cluster.b, "e2", BAD_REQUEST);
+  report_endpoint_crash (&cluster.b, "e3", BAD_REQUEST);
+  exchange_crash_reports_with_store (&cluster.a);
+  cr_assert (is_request_quarantined (&cluster.a, BAD_REQUEST));
+  cr_assert_eq (lc_quarantine_count_fingerprints (cluster.a.quarantine), 1);
+  cluster_clear (&cluster);
 }
 
 /* --- platforms that cannot watch rows for changes --- */
@@ -422,16 +423,16 @@
   instance_init (&b, base, platform, "b");
   for (size_t i = 0; i < 3; i++)
     {
-      report_crash (&a, endpoints[i], BAD_REQUEST);
+      report_endpoint_crash (&a, endpoints[i], BAD_REQUEST);
       event_base_loop (base, EVLOOP_NONBLOCK);
       cr_assert_eq (a.peers->n_frames, (int)i + 1);
       cr_assert (ln_crashes_receive_frame (b.crashes, &a.peers->last));
     }
-  cr_assert (is_quarantined (&b, BAD_REQUEST));
+  cr_assert (is_request_quarantined (&b, BAD_REQUEST));
   instance_init (&fresh, base, platform, "c");
-  tick_crash_reports (&fresh);
+  exchange_crash_reports_with_store (&fresh);
   event_base_loop (base, EVLOOP_NONBLOCK);
-  cr_assert (is_quarantined (&fresh, BAD_REQUEST));
+  cr_assert (is_request_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
   instance_clear (&a);
   instance_clear (&b);
@@ -451,14 +452,14 @@
   LbTime now = lb_clock_monotonic ();
 
   instance_init (&a, base, platform, "a");
-  tick_crash_reports (&a);
+  exchange_crash_reports_with_store (&a);
   for (int i = 2; i >= 0; i--)
     ln_crashes_report_crash (a.crashes, "e1", now - i * 10 * LB_SEC, &fingerprint, 1);
-  cr_assert (is_quarantined (&a, BAD_REQUEST));
+  cr_assert (is_request_quarantined (&a, BAD_REQUEST));
   instance_init (&fresh, base, platform, "b");
-  tick_crash_reports (&fresh);
+  exchange_crash_reports_with_store (&fresh);
   event_base_loop (base, EVLOOP_NONBLOCK);
-  cr_assert (is_quarantined (&fresh, BAD_REQUEST));
+  cr_assert (is_request_quarantined (&fresh, BAD_REQUEST));
   instance_clear (&fresh);
   instance_clear (&a);
   platform->klass->free (platform);
@@ -478,21 +479,21 @@
   instance_init (&b, base, platform, "b");
   ln_crashes_tick (b.crashes, now);
   event_base_loop (base, EVLOOP_NONBLOCK);
-  report_crash (&a, "e1", BAD_REQUEST);
-  report_crash (&a, "e2", BAD_REQUEST);
-  report_crash (&a, "e3", BAD_REQUEST);
+  report_endpoint_crash (&a, "e1", BAD_REQUEST);
+  report_endpoint_crash (&a, "e2", BAD_REQUEST);
+  report_endpoint_crash (&a, "e3", BAD_REQUEST);
   event_base_loop (base, EVLOOP_NONBLOCK);
-  cr_assert_not (is_quarantined (&b, BAD_REQUEST));
+  cr_assert_not (is_request_quarantined (&b, BAD_REQUEST));
   ln_crashes_tick (b.crashes, now + 6 * LB_SEC);
   event_base_loop (base, EVLOOP_NONBLOCK);
-  cr_assert (is_quarantined (&b, BAD_REQUEST));
+  cr_assert (is_request_quarantined (&b, BAD_REQUEST));
   instance_clear (&a);
   instance_clear (&b);
   platform->klass->free (platform);
   event_base_free (base);
 }
 
-Test (crashes, frames_of_other_kinds_are_rejected)
+Test (crashes, a_malformed_frame_is_rejected)
 {
   struct event_base *base = event_base_new ();
   LpPlatform *platform = lp_memory_new (base);
--- a/packages/node/tests/test-fleet-directory.c
+++ b/packages/node/tests/test-fleet-directory.c
@@ -11,7 +11,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#define N_STRONG_INSTANCES 200 /* instances whose machine has a high capacity */
+#define N_HIGH_CAPACITY_INSTANCES 200 /* instances on machines of high capacity */
 
 typedef struct
 {
@@ -23,7 +23,7 @@
  * calls and the returned rows. */
 typedef struct
 {
-  LpPlatform platform; /* must be the first member */
+  LpPlatform platform; /* first member, because callbacks cast LpPlatform * to Store * */
   Row *rows;           /* sorted by key */
   size_t n_rows;
   size_t n_lists;
@@ -85,8 +85,8 @@
   for (size_t i = 0; i < n_instances; i++)
     {
       LcFleetRow row = { .ready = true, .period = LB_SEC };
-      row.strength = i < N_STRONG_INSTANCES ? lc_duty_machine_strength (0.5, 600)
-                                            : lc_duty_machine_strength (0.12, 60);
+      row.strength = i < N_HIGH_CAPACITY_INSTANCES ? lc_duty_machine_strength (0.5, 600)
+                                                   : lc_duty_machine_strength (0.12, 60);
       row.renewed_ms = get_store_clock_ms (&store->platform);
       format_instance_name (i, row.name);
       LB_COPY (row.incarnation, "1");
@@ -114,7 +114,7 @@
 }
 
 static size_t
-count_strong_members (const LnFleetLists *lists)
+count_high_capacity_members (const LnFleetLists *lists)
 {
   size_t n = 0;
 
@@ -139,14 +139,14 @@
       cr_assert_eq (store.n_rows_returned, LN_FLEET_DIRECTORY_MAX);
       cr_assert_leq (store.n_lists, 9);
       cr_assert_eq (ln_fleet_lists_count_members (lists), LN_FLEET_DIRECTORY_MAX);
-      cr_assert_geq (count_strong_members (lists) * 100, LN_FLEET_DIRECTORY_MAX * 80);
+      cr_assert_geq (count_high_capacity_members (lists) * 100, LN_FLEET_DIRECTORY_MAX * 80);
       ln_fleet_lists_free (lists);
       store_clear (&store);
     }
 }
 
 /* Guards against a directory that lacks some instances of a small fleet. */
-Test (fleet_directory, a_small_fleet_is_known_completely)
+Test (fleet_directory, directory_contains_every_instance_of_a_small_fleet)
 {
   Store store;
 
--- a/packages/node/tests/test-fleet-lists.c
+++ b/packages/node/tests/test-fleet-lists.c
@@ -22,7 +22,7 @@
 /* Fake store with the rows of two instances, both in one partition. It answers at once. */
 typedef struct
 {
-  LpPlatform platform; /* must be the first member */
+  LpPlatform platform; /* first member, because callbacks cast LpPlatform * to Store * */
   Instance instances[2];
   int64_t version;
 } Store;
--- a/packages/node/tests/test-fleet-renewal.c
+++ b/packages/node/tests/test-fleet-renewal.c
@@ -8,7 +8,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define MAX_WRITES 64
+#define MAX_RECORDED_WRITES 64
 
 typedef struct
 {
@@ -18,35 +18,35 @@
   void *user;
 } Write;
 
-/* Fake store that records writes and answers them when the test calls answer_all_writes. */
+/* Fake store that records writes and answers them when the test calls answer_all_store_writes. */
 typedef struct
 {
-  LpPlatform platform; /* must be the first member */
-  Write writes[MAX_WRITES];
+  LpPlatform platform; /* first member, because callbacks cast LpPlatform * to Store * */
+  Write writes[MAX_RECORDED_WRITES];
   size_t n_writes;
   size_t n_answered;
 } Store;
 
 static void
-record_write (LpPlatform *platform,
-              const LpTransaction *transaction,
-              LpPriority priority,
-              LpTransactDone done,
-              void *user)
+record_store_write (LpPlatform *platform,
+                    const LpTransaction *transaction,
+                    LpPriority priority,
+                    LpTransactDone done,
+                    void *user)
 {
   (void)priority;
   Store *store = (Store *)platform;
 
-  cr_assert_lt (store->n_writes, MAX_WRITES);
+  cr_assert_lt (store->n_writes, MAX_RECORDED_WRITES);
   Write *write = &store->writes[store->n_writes++];
   *write = (Write){ .is_removal = !transaction->puts[0].value, .done = done, .user = user };
   snprintf (write->key, sizeof write->key, "%s", transaction->puts[0].key);
 }
 
-static const LpPlatformClass store_class = { .name = "test", .transact = record_write };
+static const LpPlatformClass store_class = { .name = "test", .transact = record_store_write };
 
 static void
-answer_all_writes (Store *store, LbErrorCode error)
+answer_all_store_writes (Store *store, LbErrorCode error)
 {
   while (store->n_answered < store->n_writes)
     {
@@ -61,7 +61,8 @@
   LcFleetRow row;
   LnFleetRenewal *renewal;
   LbTime now;
-  bool is_duty_row_listed; /* the last list had the row that is renewed only on duty */
+  /* whether the latest list of the store contained the row that is renewed only while on duty */
+  bool is_duty_row_listed;
   bool is_omitted;
 } Setup;
 
@@ -77,7 +78,7 @@
 }
 
 static void
-tick_renewal (Setup *s)
+renew_rows_with_elapsed_period (Setup *s)
 {
   const LnFleetListSummary summary
       = { .n_instances = 295, .is_omitted = s->is_omitted, .has_duty_row = s->is_duty_row_listed };
@@ -85,15 +86,15 @@
   ln_fleet_renewal_tick (s->renewal, &summary, s->now);
 }
 
-/* Advances the test's clock by the duration, in steps of 100 ms: each step ticks the renewal and
- * answers all writes. */
+/* Advances the test's clock by the duration in steps of 100 ms. Each step writes the rows whose
+ * renewal period has elapsed and confirms all writes. */
 static void
-tick_renewal_for (Setup *s, LbTime duration)
+renew_rows_periodically_for (Setup *s, LbTime duration)
 {
   for (LbTime end = s->now + duration; s->now < end; s->now += 100 * LB_MSEC)
     {
-      tick_renewal (s);
-      answer_all_writes (&s->store, LB_OK);
+      renew_rows_with_elapsed_period (s);
+      answer_all_store_writes (&s->store, LB_OK);
     }
 }
 
@@ -116,11 +117,11 @@
   Setup s;
 
   setup_init_with_renewal (&s);
-  tick_renewal_for (&s, 3 * LB_SEC);
+  renew_rows_periodically_for (&s, 3 * LB_SEC);
   cr_assert_eq (count_row_writes (&s, false, false), 2);
   cr_assert_eq (count_row_writes (&s, true, false), 0);
   ln_fleet_renewal_set_duty (s.renewal, true, s.now);
-  tick_renewal_for (&s, 3 * LB_SEC);
+  renew_rows_periodically_for (&s, 3 * LB_SEC);
   cr_assert_geq (count_row_writes (&s, true, false), 10);
   cr_assert_leq (count_row_writes (&s, false, false), 3);
   ln_fleet_renewal_free (s.renewal);
@@ -135,23 +136,23 @@
 
   setup_init_with_renewal (&s);
   ln_fleet_renewal_set_duty (s.renewal, true, s.now);
-  tick_renewal_for (&s, LB_SEC);
+  renew_rows_periodically_for (&s, LB_SEC);
   ln_fleet_renewal_set_duty (s.renewal, false, s.now);
-  tick_renewal_for (&s, 10 * LB_SEC);
+  renew_rows_periodically_for (&s, 10 * LB_SEC);
   cr_assert_eq (count_row_writes (&s, true, true), 0,
                 "expected no removal yet, as the duty row is kept for the next step");
   s.is_duty_row_listed = true;
   s.now += LB_SEC;
-  tick_renewal (&s);
-  answer_all_writes (&s.store, LB_OK);
+  renew_rows_with_elapsed_period (&s);
+  answer_all_store_writes (&s.store, LB_OK);
   s.now += 100 * LB_MSEC;
-  tick_renewal (&s);
+  renew_rows_with_elapsed_period (&s);
   s.is_duty_row_listed = false;
   cr_assert_eq (count_row_writes (&s, true, true), 1);
-  answer_all_writes (&s.store, LB_ERROR_STORE_UNKNOWN);
-  tick_renewal_for (&s, LB_SEC);
+  answer_all_store_writes (&s.store, LB_ERROR_STORE_UNKNOWN);
+  renew_rows_periodically_for (&s, LB_SEC);
   cr_assert_eq (count_row_writes (&s, true, true), 2);
-  tick_renewal_for (&s, 5 * LB_SEC);
+  renew_rows_periodically_for (&s, 5 * LB_SEC);
   cr_assert_eq (count_row_writes (&s, true, true), 2,
                 "expected no further removal, as the second one succeeded");
   ln_fleet_renewal_free (s.renewal);
@@ -165,12 +166,12 @@
 
   setup_init_with_renewal (&s);
   ln_fleet_renewal_set_duty (s.renewal, true, s.now);
-  tick_renewal_for (&s, LB_SEC);
+  renew_rows_periodically_for (&s, LB_SEC);
   ln_fleet_renewal_set_duty (s.renewal, false, s.now);
-  tick_renewal_for (&s, 12 * LB_SEC);
+  renew_rows_periodically_for (&s, 12 * LB_SEC);
   cr_assert_eq (count_row_writes (&s, true, true), 1);
   s.is_duty_row_listed = true;
-  tick_renewal_for (&s, LB_SEC);
+  renew_rows_periodically_for (&s, LB_SEC);
   s.is_duty_row_listed = false;
   cr_assert_geq (count_row_writes (&s, true, true), 2);
   ln_fleet_renewal_free (s.renewal);
@@ -184,11 +185,11 @@
 
   setup_init_with_renewal (&s);
   s.is_omitted = true;
-  tick_renewal_for (&s, 30 * LB_SEC);
+  renew_rows_periodically_for (&s, 30 * LB_SEC);
   cr_assert_leq (count_row_writes (&s, false, false), 4);
   size_t before = count_row_writes (&s, false, false);
   s.is_omitted = false;
-  tick_renewal_for (&s, 2500 * LB_MSEC);
+  renew_rows_periodically_for (&s, 2500 * LB_MSEC);
   cr_assert_geq (count_row_writes (&s, false, false), before + 1);
   ln_fleet_renewal_free (s.renewal);
 }
--- a/packages/node/tests/test-front.c
+++ b/packages/node/tests/test-front.c
@@ -3,14 +3,14 @@
 static void
 expect_error_reply (Fixture *f, const char *request, const char *status, const char *type)
 {
-  Peer caller;
+  TestConnection caller;
 
   caller_connect (f, &caller);
-  peer_send (&caller, request);
-  FIXTURE_WAIT_UNTIL (f, peer_has_received (&caller, "not_run"));
+  connection_send_text (&caller, request);
+  FIXTURE_WAIT_UNTIL (f, connection_has_received (&caller, "not_run"));
   cr_assert (strstr (caller.text, status), "expected %s, got %s", status, caller.text);
   cr_assert (strstr (caller.text, type), "expected %s, got %s", type, caller.text);
-  peer_close (&caller);
+  connection_close (&caller);
 }
 
 /* A slow or malicious caller sends its request one byte at a time. Each byte restarts a plain read
@@ -19,24 +19,24 @@
 Test (front, request_sent_byte_by_byte_times_out)
 {
   Fixture f;
-  Peer caller;
+  TestConnection caller;
 
-  fixture_init (&f);
+  fixture_init_settings_and_event_base (&f);
   f.settings.http.request_read_ms = 100;
-  fixture_start_tasks (&f);
+  fixture_start_front_and_calls (&f);
   caller_connect (&f, &caller);
-  peer_send (&caller,
-             "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 1000000\r\n\r\n");
+  connection_send_text (
+      &caller, "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 1000000\r\n\r\n");
   LbTime end = lb_clock_monotonic () + FIXTURE_WAIT_TIMEOUT;
-  while (!peer_has_received (&caller, "too_slow") && lb_clock_monotonic () < end)
+  while (!connection_has_received (&caller, "too_slow") && lb_clock_monotonic () < end)
     {
       send (caller.fd, "a", 1, 0);
-      fixture_run_loop_once (&f);
+      fixture_run_event_loop_once (&f);
     }
   cr_assert (strstr (caller.text, "408"), "expected status 408, got %s", caller.text);
   cr_assert (strstr (caller.text, "too_slow"));
-  FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&caller));
-  peer_close (&caller);
+  FIXTURE_WAIT_UNTIL (&f, connection_is_closed_by_daemon (&caller));
+  connection_close (&caller);
   fixture_clear (&f);
 }
 
@@ -45,42 +45,42 @@
 Test (front, header_sent_byte_by_byte_times_out)
 {
   Fixture f;
-  Peer caller;
+  TestConnection caller;
 
-  fixture_init (&f);
+  fixture_init_settings_and_event_base (&f);
   f.settings.http.request_read_ms = 100;
-  fixture_start_tasks (&f);
+  fixture_start_front_and_calls (&f);
   caller_connect (&f, &caller);
-  peer_send (&caller, "GET /healthz HTTP/1.1\r\nHost: h\r\nx-long: ");
+  connection_send_text (&caller, "GET /healthz HTTP/1.1\r\nHost: h\r\nx-long: ");
   LbTime end = lb_clock_monotonic () + FIXTURE_WAIT_TIMEOUT;
-  while (!peer_has_received (&caller, "too_slow") && lb_clock_monotonic () < end)
+  while (!connection_has_received (&caller, "too_slow") && lb_clock_monotonic () < end)
     {
       send (caller.fd, "a", 1, 0);
-      fixture_run_loop_once (&f);
+      fixture_run_event_loop_once (&f);
     }
   cr_assert (strstr (caller.text, "too_slow"), "expected too_slow, got %s", caller.text);
-  peer_close (&caller);
+  connection_close (&caller);
   fixture_clear (&f);
 }
 
 /* Sends a request in two segments, the first with first_length bytes, and expects a reply that
  * contains the complete path. */
 static void
-expect_path_in_reply (Fixture *f, Peer *caller, const char *path, size_t first_length)
+expect_path_in_reply (Fixture *f, TestConnection *caller, const char *path, size_t first_length)
 {
   char *request = lb_asprintf ("GET %s HTTP/1.1\r\nHost: h\r\n\r\n", path);
   char *expected = lb_asprintf ("GET %s\"", path);
   char *first_segment = lb_strndup (request, first_length);
 
-  peer_send (caller, first_segment);
+  connection_send_text (caller, first_segment);
   for (int i = 0; i < 5; i++)
-    fixture_run_loop_once (f);
-  peer_send (caller, request + first_length);
-  FIXTURE_WAIT_UNTIL (f, peer_has_received (caller, "not_run"));
+    fixture_run_event_loop_once (f);
+  connection_send_text (caller, request + first_length);
+  FIXTURE_WAIT_UNTIL (f, connection_has_received (caller, "not_run"));
   cr_assert (strstr (caller->text, expected),
              "expected the complete path after the first segment \"%s\", got %s", first_segment,
              caller->text);
-  peer_clear_text (caller);
+  connection_clear_received_text (caller);
   free (request);
   free (expected);
   free (first_segment);
@@ -93,15 +93,15 @@
 {
   static const char *const paths[] = { "/nowhere/0123456789/abcdef", "/elsewhere/zyxwvut/98765" };
   Fixture f;
-  Peer caller;
+  TestConnection caller;
 
-  fixture_init (&f);
-  fixture_start_tasks (&f);
-  fixture_configure (&f, NULL, NULL);
+  fixture_init_settings_and_event_base (&f);
+  fixture_start_front_and_calls (&f);
+  fixture_apply_engines_and_services (&f, NULL, NULL);
   caller_connect (&f, &caller);
   for (size_t length = 1; length < strlen (paths[0]) + 20; length++)
     expect_path_in_reply (&f, &caller, paths[length % 2], length);
-  peer_close (&caller);
+  connection_close (&caller);
   fixture_clear (&f);
 }
 
@@ -110,22 +110,22 @@
 Test (front, partial_pipelined_request_line_is_held_until_complete)
 {
   Fixture f;
-  Peer caller;
+  TestConnection caller;
 
-  fixture_init (&f);
-  fixture_start_tasks (&f);
-  fixture_configure (&f, NULL, NULL);
+  fixture_init_settings_and_event_base (&f);
+  fixture_start_front_and_calls (&f);
+  fixture_apply_engines_and_services (&f, NULL, NULL);
   caller_connect (&f, &caller);
-  peer_send (&caller, "GET /nowhere/0123456789 HTTP/1.1\r\nHost: h\r\n\r\nGET /elsew");
-  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "GET /nowhere/0123456789\""));
-  peer_clear_text (&caller);
+  connection_send_text (&caller, "GET /nowhere/0123456789 HTTP/1.1\r\nHost: h\r\n\r\nGET /elsew");
+  FIXTURE_WAIT_UNTIL (&f, connection_has_received (&caller, "GET /nowhere/0123456789\""));
+  connection_clear_received_text (&caller);
   for (int i = 0; i < 5; i++)
-    fixture_run_loop_once (&f);
-  peer_send (&caller, "here/zyx HTTP/1.1\r\nHost: h\r\n\r\n");
-  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "not_run"));
+    fixture_run_event_loop_once (&f);
+  connection_send_text (&caller, "here/zyx HTTP/1.1\r\nHost: h\r\n\r\n");
+  FIXTURE_WAIT_UNTIL (&f, connection_has_received (&caller, "not_run"));
   cr_assert (strstr (caller.text, "GET /elsewhere/zyx\""), "expected the complete path, got %s",
              caller.text);
-  peer_close (&caller);
+  connection_close (&caller);
   fixture_clear (&f);
 }
 
@@ -133,16 +133,16 @@
 Test (front, partial_request_line_times_out)
 {
   Fixture f;
-  Peer caller;
+  TestConnection caller;
 
-  fixture_init (&f);
+  fixture_init_settings_and_event_base (&f);
   f.settings.http.request_read_ms = 100;
-  fixture_start_tasks (&f);
+  fixture_start_front_and_calls (&f);
   caller_connect (&f, &caller);
-  peer_send (&caller, "GET /health");
-  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "too_slow"));
+  connection_send_text (&caller, "GET /health");
+  FIXTURE_WAIT_UNTIL (&f, connection_has_received (&caller, "too_slow"));
   cr_assert (strstr (caller.text, "408"), "expected status 408, got %s", caller.text);
-  peer_close (&caller);
+  connection_close (&caller);
   fixture_clear (&f);
 }
 
@@ -152,11 +152,11 @@
   Fixture f;
   char *text_4999_bytes = lb_malloc (5000);
 
-  fixture_init (&f);
+  fixture_init_settings_and_event_base (&f);
   f.settings.http.max_body_bytes = 1024;
   f.settings.http.max_header_bytes = 1024;
-  fixture_start_tasks (&f);
-  fixture_configure (&f, NULL, NULL);
+  fixture_start_front_and_calls (&f);
+  fixture_apply_engines_and_services (&f, NULL, NULL);
   expect_error_reply (&f, "NONSENSE\r\n\r\n", " 400 ", "bad_request");
   expect_error_reply (&f, "GET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n", " 404 ", "unknown_path");
   expect_error_reply (&f, "GET /metricsx HTTP/1.1\r\nHost: h\r\n\r\n", " 404 ", "unknown_path");
@@ -233,22 +233,22 @@
           "Host: a\r\nHost: b" };
   Fixture f;
 
-  fixture_init (&f);
-  fixture_start_tasks (&f);
+  fixture_init_settings_and_event_base (&f);
+  fixture_start_front_and_calls (&f);
   for (size_t i = 0; i < sizeof headers / sizeof headers[0]; i++)
     {
-      Peer caller;
+      TestConnection caller;
       char *request = lb_asprintf ("POST /services/none/x HTTP/1.1\r\nHost: h\r\n%s\r\n\r\n"
                                    "0\r\n\r\nGET /services/none/hidden HTTP/1.1\r\nHost: h\r\n\r\n",
                                    headers[i]);
       caller_connect (&f, &caller);
-      peer_send (&caller, request);
-      FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&caller));
+      connection_send_text (&caller, request);
+      FIXTURE_WAIT_UNTIL (&f, connection_is_closed_by_daemon (&caller));
       cr_assert (strstr (caller.text, " 400 "), "%s: expected status 400, got %s", headers[i],
                  caller.text);
       cr_assert_not (strstr (caller.text, " 404 "), "%s: expected no status 404, got %s",
                      headers[i], caller.text);
-      peer_close (&caller);
+      connection_close (&caller);
       free (request);
     }
   fixture_clear (&f);
@@ -274,22 +274,22 @@
           { "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\nGET /healthz HTTP/1.1\r\n\r\n", 0 } };
   Fixture f;
 
-  fixture_init (&f);
-  fixture_start_tasks (&f);
+  fixture_init_settings_and_event_base (&f);
+  fixture_start_front_and_calls (&f);
   for (size_t i = 0; i < sizeof requests / sizeof requests[0]; i++)
     {
-      Peer caller;
+      TestConnection caller;
       size_t length = requests[i].length > 0 ? requests[i].length : strlen (requests[i].text);
       caller_connect (&f, &caller);
       cr_assert_eq (write (caller.fd, requests[i].text, length), (ssize_t)length);
-      FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&caller));
+      FIXTURE_WAIT_UNTIL (&f, connection_is_closed_by_daemon (&caller));
       cr_assert (strstr (caller.text, " 400 "), "request %zu: expected status 400, got %s", i,
                  caller.text);
       cr_assert_eq (
           strstr (caller.text, " 200 ") != NULL, i == 4,
           "request %zu: expected status 200 only for the valid request before request 4, got %s", i,
           caller.text);
-      peer_close (&caller);
+      connection_close (&caller);
     }
   fixture_clear (&f);
 }
@@ -297,21 +297,21 @@
 Test (front, pipelined_requests_are_answered_in_order)
 {
   Fixture f;
-  Peer caller;
+  TestConnection caller;
 
-  fixture_init (&f);
-  fixture_start_tasks (&f);
+  fixture_init_settings_and_event_base (&f);
+  fixture_start_front_and_calls (&f);
   caller_connect (&f, &caller);
-  peer_send (&caller,
-             "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\nGET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n"
-             "GET /readyz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
-  FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&caller));
+  connection_send_text (
+      &caller, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\nGET /nowhere HTTP/1.1\r\nHost: h\r\n\r\n"
+               "GET /readyz HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n");
+  FIXTURE_WAIT_UNTIL (&f, connection_is_closed_by_daemon (&caller));
   char *alive = strstr (caller.text, "alive");
   char *unknown = strstr (caller.text, "unknown_path");
   char *ready = strstr (caller.text, "ready\n");
   cr_assert (alive && unknown && ready);
   cr_assert (alive < unknown && unknown < ready);
-  peer_close (&caller);
+  connection_close (&caller);
   fixture_clear (&f);
 }
 
@@ -320,33 +320,33 @@
 Test (front, connections_above_the_limit_are_closed)
 {
   Fixture f;
-  Peer first, second;
+  TestConnection first, second;
 
-  fixture_init (&f);
+  fixture_init_settings_and_event_base (&f);
   f.settings.http.max_connections = 1;
-  fixture_start_tasks (&f);
+  fixture_start_front_and_calls (&f);
   caller_connect (&f, &first);
-  peer_send (&first, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
-  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&first, "alive"));
+  connection_send_text (&first, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
+  FIXTURE_WAIT_UNTIL (&f, connection_has_received (&first, "alive"));
   caller_connect (&f, &second);
-  FIXTURE_WAIT_UNTIL (&f, peer_is_closed (&second));
-  peer_clear_text (&first);
-  peer_send (&first, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
-  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&first, "alive"));
-  peer_close (&first);
-  peer_close (&second);
+  FIXTURE_WAIT_UNTIL (&f, connection_is_closed_by_daemon (&second));
+  connection_clear_received_text (&first);
+  connection_send_text (&first, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
+  FIXTURE_WAIT_UNTIL (&f, connection_has_received (&first, "alive"));
+  connection_close (&first);
+  connection_close (&second);
   fixture_clear (&f);
 }
 
-Test (front, not_ready_until_resources_are_confirmed)
+Test (front, requests_are_refused_while_the_instance_is_not_ready)
 {
   Fixture f;
   LnReadyMessage ready = { .base = LN_MESSAGE (LN_READY), .ready = false };
 
-  fixture_init (&f);
-  fixture_start_tasks (&f);
+  fixture_init_settings_and_event_base (&f);
+  fixture_start_front_and_calls (&f);
   LN_POST (f.context.hub, NULL, ready);
-  fixture_run_loop_once (&f);
+  fixture_run_event_loop_once (&f);
   expect_error_reply (&f, "GET /readyz HTTP/1.1\r\nHost: h\r\n\r\n", " 503 ", "not_ready");
   expect_error_reply (&f,
                       "POST /v1/completions HTTP/1.1\r\nHost: h\r\nContent-Length: 26\r\n\r\n"
@@ -359,22 +359,22 @@
 Test (front, closed_idle_connections_free_their_slot)
 {
   Fixture f;
-  Peer caller;
+  TestConnection caller;
 
-  fixture_init (&f);
+  fixture_init_settings_and_event_base (&f);
   f.settings.http.max_connections = 1;
-  fixture_start_tasks (&f);
+  fixture_start_front_and_calls (&f);
   for (int i = 0; i < 3; i++)
     {
       caller_connect (&f, &caller);
-      peer_send (&caller, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
-      FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "alive"));
+      connection_send_text (&caller, "GET /healthz HTTP/1.1\r\nHost: h\r\n\r\n");
+      FIXTURE_WAIT_UNTIL (&f, connection_has_received (&caller, "alive"));
       errno = EAGAIN;
-      peer_close (&caller);
+      connection_close (&caller);
       for (int iteration = 0; iteration < 20; iteration++)
         {
           errno = EAGAIN;
-          fixture_run_loop_once (&f);
+          fixture_run_event_loop_once (&f);
         }
     }
   fixture_clear (&f);
--- a/packages/node/tests/test-leaving.c
+++ b/packages/node/tests/test-leaving.c
@@ -17,7 +17,7 @@
 } FakePeers;
 
 static void
-fake_peers_receive (LnTask *task, const LnMessage *message)
+fake_peers_record_frame (LnTask *task, const LnMessage *message)
 {
   FakePeers *peers = (FakePeers *)task;
   const LnPeerMessage *frame = (const LnPeerMessage *)message;
@@ -34,7 +34,7 @@
 }
 
 static const LnTaskClass fake_peers_class
-    = { .name = "peers", .receive = fake_peers_receive, .free = fake_peers_free };
+    = { .name = "peers", .receive = fake_peers_record_frame, .free = fake_peers_free };
 
 typedef struct
 {
--- a/packages/node/tests/test-peers.c
+++ b/packages/node/tests/test-peers.c
@@ -28,7 +28,7 @@
  * forwarded. */
 #define MAX_INSTANCES 10
 
-/* Task that records the member lists and frames which its instance receives from the others. */
+/* Task that records the member lists and frames that its instance receives from other instances. */
 typedef struct
 {
   LnTask base;
@@ -37,14 +37,14 @@
   size_t n_frames;
   char last_payload[64];
   LbName last_sender;
-} Listener;
+} MessageRecorder;
 
 typedef struct
 {
   LnSettings settings;
   LnContext context;
   LnTask *peers;
-  Listener *listener;
+  MessageRecorder *recorder;
 } Instance;
 
 typedef struct
@@ -55,36 +55,36 @@
 } Cluster;
 
 static void
-record_members (Listener *listener, const LnMembersMessage *message)
+record_member_list (MessageRecorder *recorder, const LnMembersMessage *message)
 {
-  listener->n_members = message->n_members;
+  recorder->n_members = message->n_members;
   for (size_t i = 0; i < message->n_members && i < MAX_INSTANCES; i++)
-    listener->members[i] = message->members[i];
+    recorder->members[i] = message->members[i];
 }
 
 static void
-listener_receive (LnTask *task, const LnMessage *message)
+message_recorder_receive (LnTask *task, const LnMessage *message)
 {
-  Listener *listener = (Listener *)task;
+  MessageRecorder *recorder = (MessageRecorder *)task;
   const LnPeerMessage *frame = (const LnPeerMessage *)message;
 
   if (message->type == LN_MEMBERS)
-    record_members (listener, (const LnMembersMessage *)message);
+    record_member_list (recorder, (const LnMembersMessage *)message);
   if (message->type != LN_PEER_FRAME)
     return;
-  listener->n_frames++;
-  LB_COPY (listener->last_payload, frame->payload);
-  LB_COPY (listener->last_sender, frame->instance);
+  recorder->n_frames++;
+  LB_COPY (recorder->last_payload, frame->payload);
+  LB_COPY (recorder->last_sender, frame->instance);
 }
 
 static void
-listener_free (LnTask *task)
+message_recorder_free (LnTask *task)
 {
   free (task);
 }
 
-static const LnTaskClass listener_class
-    = { .name = "config", .receive = listener_receive, .free = listener_free };
+static const LnTaskClass message_recorder_class
+    = { .name = "config", .receive = message_recorder_receive, .free = message_recorder_free };
 
 static void
 cluster_init (Cluster *cluster)
@@ -96,15 +96,15 @@
 }
 
 static Instance *
-start_instance (Cluster *cluster, const char *key, const char *seed)
+start_instance (Cluster *cluster, const char *cluster_key, const char *seed_address)
 {
   Instance *instance = &cluster->instances[cluster->n_instances++];
 
   ln_settings_init (&instance->settings);
-  LB_COPY (instance->settings.cluster.key, key);
+  LB_COPY (instance->settings.cluster.key, cluster_key);
   instance->settings.cluster.seeds = LB_NEW_ARRAY (LbName, 1);
-  instance->settings.cluster.n_seeds = seed ? 1 : 0;
-  LB_COPY (instance->settings.cluster.seeds[0], seed ? seed : "");
+  instance->settings.cluster.n_seeds = seed_address ? 1 : 0;
+  LB_COPY (instance->settings.cluster.seeds[0], seed_address ? seed_address : "");
   instance->context = (LnContext){ .base = cluster->base, .settings = &instance->settings };
   instance->context.hub = ln_hub_new (cluster->base);
   snprintf (instance->context.instance, LB_NAME_MAX, "i%zu", cluster->n_instances);
@@ -113,9 +113,9 @@
   instance->peers = ln_peers_task_new (&instance->context);
   cr_assert (instance->peers);
   ln_hub_add_task (instance->context.hub, instance->peers);
-  instance->listener = LB_NEW (Listener);
-  instance->listener->base.klass = &listener_class;
-  ln_hub_add_task (instance->context.hub, &instance->listener->base);
+  instance->recorder = LB_NEW (MessageRecorder);
+  instance->recorder->base.klass = &message_recorder_class;
+  ln_hub_add_task (instance->context.hub, &instance->recorder->base);
   return instance;
 }
 
@@ -135,7 +135,7 @@
 }
 
 static void
-run_loop_once (Cluster *cluster)
+run_event_loop_once (Cluster *cluster)
 {
   event_base_loop (cluster->base, EVLOOP_NONBLOCK);
   usleep (500);
@@ -146,7 +146,7 @@
     {                                                                                              \
       LbTime end_ = lb_clock_monotonic () + WAIT_TIMEOUT;                                          \
       while (!(condition) && lb_clock_monotonic () < end_)                                         \
-        run_loop_once (cluster);                                                                   \
+        run_event_loop_once (cluster);                                                             \
       cr_assert ((condition), "still false at the timeout: %s", #condition);                       \
     }                                                                                              \
   while (0)
@@ -156,22 +156,22 @@
 {
   size_t alive = 0;
 
-  for (size_t i = 0; i < instance->listener->n_members; i++)
-    alive += instance->listener->members[i].alive;
+  for (size_t i = 0; i < instance->recorder->n_members; i++)
+    alive += instance->recorder->members[i].alive;
   return alive;
 }
 
 static bool
 sees_member_draining (const Instance *instance, const char *name)
 {
-  for (size_t i = 0; i < instance->listener->n_members; i++)
-    if (strcmp (instance->listener->members[i].name, name) == 0)
-      return instance->listener->members[i].draining;
+  for (size_t i = 0; i < instance->recorder->n_members; i++)
+    if (strcmp (instance->recorder->members[i].name, name) == 0)
+      return instance->recorder->members[i].draining;
   return false;
 }
 
 static int64_t
-read_metric (const char *name)
+read_process_metric (const char *name)
 {
   char *text = lb_metric_render_all ();
   char *start = lb_asprintf ("\n%s ", name);
@@ -184,17 +184,17 @@
 }
 
 static void
-clear_payload (LnMessage *message)
+free_frame_payload (LnMessage *message)
 {
   free (((LnPeerMessage *)message)->payload);
 }
 
 static void
-send_frame_to (Instance *from, const char *to, const char *payload)
+send_frame_to_instance (Instance *from, const char *to, const char *payload)
 {
   LnPeerMessage message = { .base = LN_MESSAGE (LN_PEER_SEND), .topic = "config" };
 
-  message.base.clear = clear_payload;
+  message.base.clear = free_frame_payload;
   LB_COPY (message.instance, to);
   message.payload = lb_strdup (payload);
   message.length = strlen (payload);
@@ -207,24 +207,24 @@
 
   cluster_init (&cluster);
   Instance *first = start_instance (&cluster, "key", NULL);
-  run_loop_once (&cluster);
+  run_event_loop_once (&cluster);
   while (cluster.n_instances < MAX_INSTANCES)
     start_instance (&cluster, "key", first->context.peer_address);
   for (size_t i = 0; i < MAX_INSTANCES; i++)
     WAIT_UNTIL (&cluster, count_alive_members (&cluster.instances[i]) == MAX_INSTANCES);
 
   Instance *sender = &cluster.instances[5];
-  send_frame_to (sender, "", "to all");
+  send_frame_to_instance (sender, "", "to all");
   for (size_t i = 0; i < MAX_INSTANCES; i++)
-    WAIT_UNTIL (&cluster, i == 5 || cluster.instances[i].listener->n_frames == 1);
-  send_frame_to (&cluster.instances[1], "i4", "to one");
-  WAIT_UNTIL (&cluster, cluster.instances[3].listener->n_frames == 2);
-  cr_assert_str_eq (cluster.instances[3].listener->last_payload, "to one");
-  cr_assert_str_eq (cluster.instances[3].listener->last_sender, "i2");
+    WAIT_UNTIL (&cluster, i == 5 || cluster.instances[i].recorder->n_frames == 1);
+  send_frame_to_instance (&cluster.instances[1], "i4", "to one");
+  WAIT_UNTIL (&cluster, cluster.instances[3].recorder->n_frames == 2);
+  cr_assert_str_eq (cluster.instances[3].recorder->last_payload, "to one");
+  cr_assert_str_eq (cluster.instances[3].recorder->last_sender, "i2");
   for (int i = 0; i < 200; i++)
-    run_loop_once (&cluster);
+    run_event_loop_once (&cluster);
   for (size_t i = 0; i < MAX_INSTANCES; i++)
-    cr_assert_eq (cluster.instances[i].listener->n_frames, i == 5 ? 0 : i == 3 ? 2 : 1);
+    cr_assert_eq (cluster.instances[i].recorder->n_frames, i == 5 ? 0 : i == 3 ? 2 : 1);
 
   ln_hub_drain_tasks (first->context.hub);
   for (size_t i = 1; i < MAX_INSTANCES; i++)
@@ -241,16 +241,17 @@
 
   cluster_init (&cluster);
   Instance *first = start_instance (&cluster, "key", NULL);
-  run_loop_once (&cluster);
+  run_event_loop_once (&cluster);
   Instance *other = start_instance (&cluster, "other key", first->context.peer_address);
-  WAIT_UNTIL (&cluster, read_metric ("lentilspindle_errors_total{type=\"wrong_key\"}") >= 2);
+  WAIT_UNTIL (&cluster,
+              read_process_metric ("lentilspindle_errors_total{type=\"wrong_key\"}") >= 2);
   cr_assert_eq (count_alive_members (first), 1);
   cr_assert_eq (count_alive_members (other), 1);
   cluster_clear (&cluster);
 }
 
 static int
-connect_client (const Instance *instance)
+connect_client_to_instance (const Instance *instance)
 {
   struct sockaddr_storage to;
   int length = sizeof to;
@@ -293,22 +294,22 @@
 
   cluster_init (&cluster);
   Instance *first = start_instance (&cluster, "key", NULL);
-  run_loop_once (&cluster);
+  run_event_loop_once (&cluster);
   start_instance (&cluster, "key", first->context.peer_address);
   WAIT_UNTIL (&cluster, count_alive_members (first) == 2);
   for (size_t i = 0; i < sizeof cases / sizeof *cases; i++)
     {
-      int64_t before = read_metric (cases[i].counter);
-      int fd = connect_client (first);
+      int64_t before = read_process_metric (cases[i].counter);
+      int fd = connect_client_to_instance (first);
       cr_assert_eq (send (fd, cases[i].bytes, 8, 0), 8);
       WAIT_UNTIL (&cluster, is_socket_closed (fd));
-      cr_assert_eq (read_metric (cases[i].counter), before + 1,
+      cr_assert_eq (read_process_metric (cases[i].counter), before + 1,
                     "case %zu: expected its counter to increase by 1", i);
       close (fd);
     }
-  int silent_fd = connect_client (first);
+  int silent_fd = connect_client_to_instance (first);
   WAIT_UNTIL (&cluster, is_socket_closed (silent_fd));
-  cr_assert_geq (read_metric ("lentilspindle_errors_total{type=\"timeout\"}"), 1);
+  cr_assert_geq (read_process_metric ("lentilspindle_errors_total{type=\"timeout\"}"), 1);
   close (silent_fd);
   cr_assert_eq (count_alive_members (first), 2);
   cluster_clear (&cluster);
@@ -327,7 +328,7 @@
 } Proxy;
 
 static void
-proxy_forward (struct bufferevent *from, void *user)
+proxy_forward_or_drop_bytes (struct bufferevent *from, void *user)
 {
   Proxy *proxy = user;
   struct evbuffer *input = bufferevent_get_input (from);
@@ -363,7 +364,7 @@
   bufferevent_socket_connect (proxy->ends[1], (struct sockaddr *)&to, to_length);
   for (int i = 0; i < 2; i++)
     {
-      bufferevent_setcb (proxy->ends[i], proxy_forward, NULL, NULL, proxy);
+      bufferevent_setcb (proxy->ends[i], proxy_forward_or_drop_bytes, NULL, NULL, proxy);
       bufferevent_enable (proxy->ends[i], EV_READ | EV_WRITE);
     }
 }
@@ -403,7 +404,7 @@
 
   cluster_init (&cluster);
   Instance *first = start_instance (&cluster, "key", NULL);
-  run_loop_once (&cluster);
+  run_event_loop_once (&cluster);
   proxy_init (&proxy, &cluster, first->context.peer_address);
   Instance *second = start_instance (&cluster, "key", proxy.address);
   WAIT_UNTIL (&cluster, count_alive_members (first) == 2 && count_alive_members (second) == 2);
@@ -411,12 +412,12 @@
 
   proxy.drops_bytes = true;
   LbTime lost_at = lb_clock_monotonic ();
-  WAIT_UNTIL (&cluster, read_metric ("lentilspindle_peer_silent_connections_total") > 0);
+  WAIT_UNTIL (&cluster, read_process_metric ("lentilspindle_peer_silent_connections_total") > 0);
   LbTime detection_time = lb_clock_monotonic () - lost_at;
   WAIT_UNTIL (&cluster, count_alive_members (first) == 2 && count_alive_members (second) == 2);
-  send_frame_to (second, "i1", "over the new one");
-  WAIT_UNTIL (&cluster, first->listener->n_frames == 1);
-  cr_assert_eq (read_metric ("lentilspindle_members_suspected_total"), 0);
+  send_frame_to_instance (second, "i1", "over the new one");
+  WAIT_UNTIL (&cluster, first->recorder->n_frames == 1);
+  cr_assert_eq (read_process_metric ("lentilspindle_members_suspected_total"), 0);
   cr_log_info ("silence detected after %.2f s", (double)detection_time / LB_SEC);
   proxy_clear (&proxy);
   cluster_clear (&cluster);
--- a/packages/node/tests/test-recorder.c
+++ b/packages/node/tests/test-recorder.c
@@ -1,7 +1,7 @@
 #include "node-fixture.h"
 
 static void
-read_trace (const char *path, char *text, size_t size)
+read_trace_file (const char *path, char *text, size_t size)
 {
   FILE *in = fopen (path, "r");
 
@@ -10,26 +10,26 @@
   fclose (in);
 }
 
-/* The trace must contain every call, and a line that expects a complete answer only for calls
- * that completed. */
+/* The trace, which a replay runs and checks later, must contain every call. It must expect a
+ * complete answer ("expect": "whole") only for the calls that completed. */
 Test (recorder, trace_expects_complete_answers_only_of_completed_calls)
 {
   Fixture f;
-  Peer caller, service, engine;
+  TestConnection caller, service, engine;
   LbName addresses[2];
   char directory[] = "/tmp/lentilspindle-trace-XXXXXX";
   char text[4096], path[64], id[96];
 
   cr_assert (mkdtemp (directory));
   snprintf (path, sizeof path, "%s/trace.jsonl", directory);
-  fixture_init (&f);
+  fixture_init_settings_and_event_base (&f);
   LB_COPY (f.settings.instance.data_centre, "quan-bay");
   LB_COPY (f.settings.record, path);
   int engine_listener = fixture_open_listener (addresses[0]);
   int service_listener = fixture_open_listener (addresses[1]);
-  fixture_start_tasks (&f);
-  fixture_configure (&f, (const char *[]){ addresses[0], NULL },
-                     (const char *[]){ addresses[1], NULL });
+  fixture_start_front_and_calls (&f);
+  fixture_apply_engines_and_services (&f, (const char *[]){ addresses[0], NULL },
+                                      (const char *[]){ addresses[1], NULL });
   caller_connect (&f, &caller);
   caller_send_post (&caller, "/v1/completions", "x-deadline-ms: 9000\r\n",
                     "{\"model\":\"p\",\"prompt\":\"a\",\"max_tokens\":7}");
@@ -37,16 +37,16 @@
   endpoint_send_stream_head (&engine);
   endpoint_send_token (&engine, id, 0, " one", true);
   endpoint_send_stream_end (&engine);
-  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, " one"));
+  FIXTURE_WAIT_UNTIL (&f, connection_has_received (&caller, " one"));
   caller_send_post (&caller, "/services/s/order", "", "tea");
   endpoint_accept_call (&f, service_listener, &service);
-  peer_close (&service);
-  FIXTURE_WAIT_UNTIL (&f, peer_has_received (&caller, "outcome_unknown"));
-  peer_close (&engine);
-  peer_close (&caller);
+  connection_close (&service);
+  FIXTURE_WAIT_UNTIL (&f, connection_has_received (&caller, "outcome_unknown"));
+  connection_close (&engine);
+  connection_close (&caller);
   fixture_clear (&f);
 
-  read_trace (path, text, sizeof text);
+  read_trace_file (path, text, sizeof text);
   cr_assert (strstr (text, "\"site\": \"hoa-sen\""), "expected site hoa-sen, got %s", text);
   cr_assert (strstr (text, "\"event\": \"call\", \"call\": \"c1\", \"tokens\": 7, "
                            "\"deadline_ms\": 9000 }"),
--- a/packages/node/tests/test-request-bytes.c
+++ b/packages/node/tests/test-request-bytes.c
@@ -10,7 +10,7 @@
 } RequestSample;
 
 static size_t
-get_sample_length (const RequestSample *sample)
+get_request_sample_length (const RequestSample *sample)
 {
   return sample->length > 0 ? sample->length : strlen (sample->text);
 }
@@ -22,9 +22,9 @@
   LnRequestScanner scanner = { 0 };
   bool is_valid = true;
 
-  for (size_t offset = 0; offset < get_sample_length (sample); offset += segment_length)
+  for (size_t offset = 0; offset < get_request_sample_length (sample); offset += segment_length)
     {
-      size_t n_left = get_sample_length (sample) - offset;
+      size_t n_left = get_request_sample_length (sample) - offset;
       is_valid = ln_request_scanner_feed (&scanner, sample->text + offset,
                                           n_left < segment_length ? n_left : segment_length);
     }
--- a/packages/node/tests/test-row-cache.c
+++ b/packages/node/tests/test-row-cache.c
@@ -26,7 +26,7 @@
     = { .size = sizeof (RowContent), .parse = parse_row, .counter_prefix = "\"count\":" };
 
 static const RowContent *
-get_content_of_single_row_list (LnRowCache *cache, const char *value, int64_t version)
+list_single_row_and_get_content (LnRowCache *cache, const char *value, int64_t version)
 {
   const LpRow row = { .key = "t//a", .value = value, .version = version };
   LbError error = { 0 };
@@ -44,10 +44,11 @@
   LnRowCache *cache = ln_row_cache_new (&klass, NULL);
 
   n_parsed = 0;
-  cr_assert_not_null (get_content_of_single_row_list (cache, "{\"a\":1,\"count\":9,\"z\":2}", 5));
-  cr_assert_not_null (get_content_of_single_row_list (cache, "{\"a\":1,\"count\":9,\"z\":2}", 5));
-  cr_assert_not_null (get_content_of_single_row_list (cache, "{\"a\":1,\"count\":10,\"z\":2}", 6));
-  cr_assert_not_null (get_content_of_single_row_list (cache, "{\"a\":1,\"count\": 11,\"z\":2}", 7));
+  cr_assert_not_null (list_single_row_and_get_content (cache, "{\"a\":1,\"count\":9,\"z\":2}", 5));
+  cr_assert_not_null (list_single_row_and_get_content (cache, "{\"a\":1,\"count\":9,\"z\":2}", 5));
+  cr_assert_not_null (list_single_row_and_get_content (cache, "{\"a\":1,\"count\":10,\"z\":2}", 6));
+  cr_assert_not_null (
+      list_single_row_and_get_content (cache, "{\"a\":1,\"count\": 11,\"z\":2}", 7));
   cr_assert_eq (n_parsed, 1);
   ln_row_cache_free (cache);
 }
@@ -68,7 +69,7 @@
   n_parsed = 0;
   for (int i = 0; i < (int)(sizeof texts / sizeof texts[0]); i++)
     {
-      const RowContent *content = get_content_of_single_row_list (cache, texts[i], i + 1);
+      const RowContent *content = list_single_row_and_get_content (cache, texts[i], i + 1);
       cr_assert_str_eq (content->text, texts[i]);
       cr_assert_eq (n_parsed, i + 1);
     }
@@ -80,10 +81,10 @@
   LnRowCache *cache = ln_row_cache_new (&klass, NULL);
 
   n_parsed = 0;
-  cr_assert_null (get_content_of_single_row_list (cache, "nonsense", 1));
-  cr_assert_null (get_content_of_single_row_list (cache, "nonsense", 2));
+  cr_assert_null (list_single_row_and_get_content (cache, "nonsense", 1));
+  cr_assert_null (list_single_row_and_get_content (cache, "nonsense", 2));
   cr_assert_eq (n_parsed, 1);
-  cr_assert_not_null (get_content_of_single_row_list (cache, "{}", 3));
+  cr_assert_not_null (list_single_row_and_get_content (cache, "{}", 3));
   ln_row_cache_free (cache);
 }
 
@@ -93,10 +94,10 @@
   LnRowCache *cache = ln_row_cache_new (&klass, NULL);
 
   n_parsed = 0;
-  get_content_of_single_row_list (cache, "{}", 1);
+  list_single_row_and_get_content (cache, "{}", 1);
   ln_row_cache_begin_list (cache);
   ln_row_cache_end_list (cache);
-  get_content_of_single_row_list (cache, "{}", 1);
+  list_single_row_and_get_content (cache, "{}", 1);
   cr_assert_eq (n_parsed, 2);
   ln_row_cache_free (cache);
 }
--- a/packages/node/tests/test-steps.c
+++ b/packages/node/tests/test-steps.c
@@ -17,7 +17,7 @@
   CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
   cr_assert (strstr (cluster->reply, "\"delivered\":4"), "expected 4 delivered, got %s",
              cluster->reply);
-  cluster_expect_each_sample_once (cluster);
+  cluster_expect_each_sample_delivered_once (cluster);
   cr_assert_eq (cluster->instances[1].calls.n_samples, 0);
   cr_assert_eq (cluster->instances[0].calls.n_prefix_hashes, 1);
   cluster_free (cluster);
@@ -72,7 +72,7 @@
   cluster->instances[0].alive = false;
   cluster_send_member_lists (cluster);
   cr_assert_eq (cluster_pull_samples (cluster, 1, 4), 2);
-  cluster_expect_each_sample_once (cluster);
+  cluster_expect_each_sample_delivered_once (cluster);
   cluster_send_step_call (cluster, 1, "steps/1", NULL);
   CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
   cr_assert (strstr (cluster->reply, "\"session\":2"), "expected session 2, got %s",
@@ -95,7 +95,7 @@
   cluster->instances[0].alive = true;
   cluster_send_member_lists (cluster);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 4), 2);
-  cluster_expect_each_sample_once (cluster);
+  cluster_expect_each_sample_delivered_once (cluster);
   cluster_free (cluster);
 }
 
@@ -114,7 +114,7 @@
   cluster->instances[0].alive = true;
   cluster_send_member_lists (cluster);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 4), 2);
-  cluster_expect_each_sample_once (cluster);
+  cluster_expect_each_sample_delivered_once (cluster);
   cluster_free (cluster);
 }
 
@@ -132,7 +132,7 @@
              cluster->reply);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
-  cluster_expect_each_sample_once (cluster);
+  cluster_expect_each_sample_delivered_once (cluster);
   cr_assert_eq (cluster->store.n_writes, 3);
   cluster_free (cluster);
 }
@@ -153,7 +153,7 @@
   cluster->store.mode = STORE_WORKS;
   CLUSTER_WAIT_UNTIL (cluster, cluster->store.n_writes > n_writes);
   cr_assert_eq (cluster_pull_samples (cluster, 1, 4), 2);
-  cluster_expect_each_sample_once (cluster);
+  cluster_expect_each_sample_delivered_once (cluster);
   cluster_free (cluster);
 }
 
@@ -163,12 +163,12 @@
 {
   Cluster *cluster = cluster_new (false);
 
-  cluster_send_open_step (cluster, 1);
+  cluster_send_open_step_call (cluster, 1);
   cluster_open_step (cluster, 0);
   cr_assert_eq (cluster->status, 202, "expected status 202, got the reply: %s", cluster->reply);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 2), 2);
   cr_assert_eq (cluster_pull_samples (cluster, 1, 2), 2);
-  cluster_expect_each_sample_once (cluster);
+  cluster_expect_each_sample_delivered_once (cluster);
   cr_assert (cluster->instances[0].calls.n_samples == 0
              || cluster->instances[1].calls.n_samples == 0);
   cluster_free (cluster);
@@ -182,7 +182,7 @@
 } OwnerResult;
 
 static void
-on_owner_received (LbErrorCode error, const LnStepOwner *owner, void *user)
+on_step_owner_received (LbErrorCode error, const LnStepOwner *owner, void *user)
 {
   *(OwnerResult *)user = (OwnerResult){ .n_replies = 1, .error = error, .owner = *owner };
 }
@@ -202,7 +202,7 @@
     {
       stores[i] = ln_step_store_new (&cluster->instances[i].context);
       result.n_replies = 0;
-      ln_step_store_claim_step (stores[i], &key, &nobody, "{}", on_owner_received, &result);
+      ln_step_store_claim_step (stores[i], &key, &nobody, "{}", on_step_owner_received, &result);
       CLUSTER_WAIT_UNTIL (cluster, result.n_replies == 1);
       cr_assert_eq (result.error, i == 0 ? LB_OK : LB_ERROR_CONDITION_FAILED);
     }
@@ -212,7 +212,7 @@
 }
 
 static void
-expect_put_succeeded (LbErrorCode error, const LpRow *row, void *user)
+expect_row_write_succeeded (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   cr_assert_eq (error, LB_OK);
@@ -234,9 +234,9 @@
   bool done = false;
 
   faulty_store_transact (&cluster->store.platform, &transaction, LP_PRIORITY_LEDGER,
-                         expect_put_succeeded, &done);
+                         expect_row_write_succeeded, &done);
   CLUSTER_WAIT_UNTIL (cluster, done);
-  ln_step_store_read_owner (store, &key, on_owner_received, &result);
+  ln_step_store_read_owner (store, &key, on_step_owner_received, &result);
   CLUSTER_WAIT_UNTIL (cluster, result.n_replies == 1);
   cr_assert_eq (result.error, LB_OK);
   cr_assert_str_empty (result.owner.instance);
@@ -268,8 +268,8 @@
   first->draining = true;
   cluster_send_member_lists (cluster);
   ln_hub_drain_tasks (first->context.hub);
-  cluster_send_pull (cluster, 0, 4, 5000);
-  /* Waits for several ticks of the drain, none of which may release the step while samples are
+  cluster_send_pull_call (cluster, 0, 4, 5000);
+  /* Waits while the drain is checked several times; no check may release the step while samples are
    * generated. */
   LbTime until = lb_clock_monotonic () + 300 * LB_MSEC;
   CLUSTER_WAIT_UNTIL (cluster, lb_clock_monotonic () > until);
@@ -277,10 +277,10 @@
   for (size_t i = 1; i < 4; i++)
     fake_calls_post_sample_done (&first->calls, first->calls.held[i]);
   CLUSTER_WAIT_UNTIL (cluster, cluster->n_pending == 0);
-  cluster_record_samples (cluster);
+  cluster_record_samples_of_reply (cluster);
   CLUSTER_WAIT_UNTIL (cluster, ln_hub_is_idle (first->context.hub));
   cluster_pull_samples (cluster, 1, 4);
-  cluster_expect_each_sample_once (cluster);
+  cluster_expect_each_sample_delivered_once (cluster);
   cr_assert_eq (cluster->instances[1].calls.n_samples, 0);
   cluster_free (cluster);
 }
@@ -297,7 +297,7 @@
   cluster_open_step (cluster, 0);
   cr_assert_eq (cluster->status, 202, "expected status 202, got the reply: %s", cluster->reply);
   cr_assert_eq (cluster_pull_samples (cluster, 0, 4), 4);
-  cluster_expect_each_sample_once (cluster);
+  cluster_expect_each_sample_delivered_once (cluster);
   cr_assert_eq (cluster->instances[0].calls.n_samples, 0);
   CLUSTER_WAIT_UNTIL (cluster, ln_hub_is_idle (cluster->instances[0].context.hub));
   cluster_free (cluster);
--- a/packages/node/tests/test-tickets.c
+++ b/packages/node/tests/test-tickets.c
@@ -5,7 +5,7 @@
 /* Fake store with at most one row. Its operations return the errors that the test sets. */
 typedef struct
 {
-  LpPlatform platform; /* must be the first member */
+  LpPlatform platform; /* first member, because callbacks cast LpPlatform * to FakeStore * */
   LbErrorCode transact_error;
   LbErrorCode get_error;
   char key[128];
@@ -82,24 +82,24 @@
 {
   memset (&s->store, 0, sizeof s->store);
   s->store.platform.klass = &fake_store_class;
-  fixture_init (&s->f);
+  fixture_init_settings_and_event_base (&s->f);
   s->f.context.platform = &s->store.platform;
   s->listener = fixture_open_listener (s->address);
-  fixture_start_tasks (&s->f);
-  fixture_configure (&s->f, NULL, (const char *[]){ s->address, NULL });
+  fixture_start_front_and_calls (&s->f);
+  fixture_apply_engines_and_services (&s->f, NULL, (const char *[]){ s->address, NULL });
 }
 
 static void
-request_ticket (Setup *s, Peer *caller, char ticket[160])
+request_ticket (Setup *s, TestConnection *caller, char ticket[160])
 {
   caller_send_post (caller, "/v1/tickets", "", "");
-  FIXTURE_WAIT_UNTIL (&s->f, peer_has_received (caller, "expires_in_ms"));
+  FIXTURE_WAIT_UNTIL (&s->f, connection_has_received (caller, "expires_in_ms"));
   sscanf (strstr (caller->text, "\"ticket\":\"") + 10, "%159[^\"]", ticket);
-  peer_clear_text (caller);
+  connection_clear_received_text (caller);
 }
 
 static void
-send_order (Peer *caller, const char *header, const char *value)
+send_order_with_header (TestConnection *caller, const char *header, const char *value)
 {
   char *line = lb_asprintf ("%s: %s\r\n", header, value);
 
@@ -108,26 +108,26 @@
 }
 
 static void
-service_send_reply (Peer *service, const char *text)
+service_send_reply (TestConnection *service, const char *text)
 {
   char *reply = lb_asprintf ("HTTP/1.1 200 OK\r\nContent-Type: text/plain\r\n"
                              "Content-Length: %zu\r\n\r\n%s",
                              strlen (text), text);
 
-  peer_send (service, reply);
+  connection_send_text (service, reply);
   free (reply);
 }
 
 static void
 expect_no_call_at_the_endpoint (Setup *s)
 {
-  Peer peer = { 0 };
+  TestConnection connection = { 0 };
 
   for (int i = 0; i < 50; i++)
     {
-      fixture_run_loop_once (&s->f);
-      cr_assert_not (endpoint_try_accept_call (s->listener, &peer),
-                     "the call was sent to the endpoint: %s", peer.text);
+      fixture_run_event_loop_once (&s->f);
+      cr_assert_not (endpoint_try_accept_call (s->listener, &connection),
+                     "the call was sent to the endpoint: %s", connection.text);
     }
 }
 
@@ -136,24 +136,24 @@
 Test (tickets, retry_with_the_ticket_gets_the_stored_answer)
 {
   Setup s;
-  Peer caller, retry, service;
+  TestConnection caller, retry, service;
   char ticket[160];
 
   setup_init_with_fake_store (&s);
   caller_connect (&s.f, &caller);
   request_ticket (&s, &caller, ticket);
-  send_order (&caller, "x-ticket", ticket);
+  send_order_with_header (&caller, "x-ticket", ticket);
   endpoint_accept_call (&s.f, s.listener, &service);
   service_send_reply (&service, "order 7");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "order 7"));
   caller_connect (&s.f, &retry);
-  send_order (&retry, "x-ticket", ticket);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&retry, "order 7"));
+  send_order_with_header (&retry, "x-ticket", ticket);
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&retry, "order 7"));
   cr_assert (strstr (retry.text, "text/plain"));
-  peer_close (&service);
+  connection_close (&service);
   expect_no_call_at_the_endpoint (&s);
-  peer_close (&caller);
-  peer_close (&retry);
+  connection_close (&caller);
+  connection_close (&retry);
   fixture_clear (&s.f);
 }
 
@@ -162,23 +162,23 @@
 Test (tickets, retry_with_the_ticket_joins_the_running_call)
 {
   Setup s;
-  Peer caller, retry, service;
+  TestConnection caller, retry, service;
   char ticket[160];
 
   setup_init_with_fake_store (&s);
   caller_connect (&s.f, &caller);
   request_ticket (&s, &caller, ticket);
-  send_order (&caller, "x-ticket", ticket);
+  send_order_with_header (&caller, "x-ticket", ticket);
   endpoint_accept_call (&s.f, s.listener, &service);
-  peer_close (&caller);
+  connection_close (&caller);
   caller_connect (&s.f, &retry);
-  send_order (&retry, "x-ticket", ticket);
+  send_order_with_header (&retry, "x-ticket", ticket);
   expect_no_call_at_the_endpoint (&s);
   service_send_reply (&service, "order 7");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&retry, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&retry, "order 7"));
   FIXTURE_WAIT_UNTIL (&s.f, ln_hub_is_idle (s.f.context.hub));
-  peer_close (&service);
-  peer_close (&retry);
+  connection_close (&service);
+  connection_close (&retry);
   fixture_clear (&s.f);
 }
 
@@ -187,21 +187,21 @@
 Test (tickets, retry_after_a_lost_service_connection_is_not_run_again)
 {
   Setup s;
-  Peer caller, service;
+  TestConnection caller, service;
   char ticket[160];
 
   setup_init_with_fake_store (&s);
   caller_connect (&s.f, &caller);
   request_ticket (&s, &caller, ticket);
-  send_order (&caller, "x-ticket", ticket);
+  send_order_with_header (&caller, "x-ticket", ticket);
   endpoint_accept_call (&s.f, s.listener, &service);
-  peer_close (&service);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
-  peer_clear_text (&caller);
-  send_order (&caller, "x-ticket", ticket);
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
+  connection_close (&service);
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "outcome_unknown"));
+  connection_clear_received_text (&caller);
+  send_order_with_header (&caller, "x-ticket", ticket);
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "outcome_unknown"));
   expect_no_call_at_the_endpoint (&s);
-  peer_close (&caller);
+  connection_close (&caller);
   fixture_clear (&s.f);
 }
 
@@ -210,20 +210,20 @@
 Test (tickets, call_with_the_ticket_of_a_dead_instance_is_outcome_unknown)
 {
   Setup s;
-  Peer caller;
+  TestConnection caller;
 
   setup_init_with_fake_store (&s);
   caller_connect (&s.f, &caller);
-  send_order (&caller, "x-ticket", "i9.b2.0000000000000001");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
+  send_order_with_header (&caller, "x-ticket", "i9.b2.0000000000000001");
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "outcome_unknown"));
   cr_assert (strstr (caller.text, "\"not_run\":false"));
   expect_no_call_at_the_endpoint (&s);
-  peer_close (&caller);
+  connection_close (&caller);
   fixture_clear (&s.f);
 }
 
 static void
-clear_members_message (LnMessage *message)
+free_member_list (LnMessage *message)
 {
   free (((LnMembersMessage *)message)->members);
 }
@@ -236,14 +236,14 @@
 {
   LnMembersMessage message = { .base = LN_MESSAGE (LN_MEMBERS), .n_members = 1 };
 
-  message.base.clear = clear_members_message;
+  message.base.clear = free_member_list;
   message.members = LB_NEW_ARRAY (LnMember, 1);
   LB_COPY (message.members[0].name, name);
   LB_COPY (message.members[0].incarnation, incarnation);
   LB_COPY (message.members[0].caller_address, address);
   message.members[0].alive = true;
   LN_POST (s->f.context.hub, NULL, message);
-  fixture_run_loop_once (&s->f);
+  fixture_run_event_loop_once (&s->f);
 }
 
 /* The caller uses its ticket at another instance. Only the instance named in the ticket may run
@@ -251,24 +251,24 @@
 Test (tickets, call_with_the_ticket_of_another_instance_is_relayed)
 {
   Setup s;
-  Peer caller, other;
+  TestConnection caller, other;
   LbName address;
 
   setup_init_with_fake_store (&s);
   int instance = fixture_open_listener (address);
   post_member_list_with_one_instance (&s, "i2", "b1", address);
   caller_connect (&s.f, &caller);
-  send_order (&caller, "x-ticket", "i2.b1.0000000000000001");
+  send_order_with_header (&caller, "x-ticket", "i2.b1.0000000000000001");
   endpoint_accept_call (&s.f, instance, &other);
   cr_assert (strstr (other.text, "POST /services/s/order"));
   cr_assert (strstr (other.text, "x-ticket: i2.b1.0000000000000001"));
   cr_assert (strstr (other.text, "x-caller: 127.0.0.1"));
   cr_assert (strstr (other.text, "x-relayed-by: i1"));
   service_send_reply (&other, "order 7");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "order 7"));
   expect_no_call_at_the_endpoint (&s);
-  peer_close (&other);
-  peer_close (&caller);
+  connection_close (&other);
+  connection_close (&caller);
   fixture_clear (&s.f);
 }
 
@@ -277,7 +277,7 @@
 Test (tickets, relayed_call_is_not_relayed_again)
 {
   Setup s;
-  Peer caller;
+  TestConnection caller;
   LbName address;
 
   setup_init_with_fake_store (&s);
@@ -286,29 +286,29 @@
   caller_connect (&s.f, &caller);
   caller_send_post (&caller, "/services/s/order",
                     "x-relayed-by: i3\r\nx-ticket: i2.b1.0000000000000001\r\n", "tea");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "outcome_unknown"));
-  peer_close (&caller);
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "outcome_unknown"));
+  connection_close (&caller);
   fixture_clear (&s.f);
 }
 
 Test (tickets, retry_with_the_idempotency_key_gets_the_stored_answer)
 {
   Setup s;
-  Peer caller, service;
+  TestConnection caller, service;
 
   setup_init_with_fake_store (&s);
   caller_connect (&s.f, &caller);
-  send_order (&caller, "idempotency-key", "k1");
+  send_order_with_header (&caller, "idempotency-key", "k1");
   endpoint_accept_call (&s.f, s.listener, &service);
   service_send_reply (&service, "order 7");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
-  peer_clear_text (&caller);
-  peer_close (&service);
-  send_order (&caller, "idempotency-key", "k1");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "order 7"));
+  connection_clear_received_text (&caller);
+  connection_close (&service);
+  send_order_with_header (&caller, "idempotency-key", "k1");
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "order 7"));
   expect_no_call_at_the_endpoint (&s);
   cr_assert_eq (s.store.n_transactions, 2);
-  peer_close (&caller);
+  connection_close (&caller);
   fixture_clear (&s.f);
 }
 
@@ -317,16 +317,16 @@
 Test (tickets, call_with_a_key_is_not_run_while_the_store_is_unavailable)
 {
   Setup s;
-  Peer caller;
+  TestConnection caller;
 
   setup_init_with_fake_store (&s);
   s.store.transact_error = LB_ERROR_STORE_AWAY;
   caller_connect (&s.f, &caller);
-  send_order (&caller, "idempotency-key", "k1");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "store_away"));
+  send_order_with_header (&caller, "idempotency-key", "k1");
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "store_away"));
   cr_assert (strstr (caller.text, "x-not-run: 1"));
   expect_no_call_at_the_endpoint (&s);
-  peer_close (&caller);
+  connection_close (&caller);
   fixture_clear (&s.f);
 }
 
@@ -335,18 +335,18 @@
 Test (tickets, claimed_row_is_read_back_when_the_stores_reply_is_lost)
 {
   Setup s;
-  Peer caller, service;
+  TestConnection caller, service;
 
   setup_init_with_fake_store (&s);
   s.store.transact_error = LB_ERROR_STORE_UNKNOWN;
   s.store.apply_on_error = true;
   caller_connect (&s.f, &caller);
-  send_order (&caller, "idempotency-key", "k1");
+  send_order_with_header (&caller, "idempotency-key", "k1");
   endpoint_accept_call (&s.f, s.listener, &service);
   service_send_reply (&service, "order 7");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
-  peer_close (&service);
-  peer_close (&caller);
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "order 7"));
+  connection_close (&service);
+  connection_close (&caller);
   fixture_clear (&s.f);
 }
 
@@ -357,24 +357,24 @@
 Test (tickets, call_whose_claim_cannot_be_read_back_is_not_run)
 {
   Setup s;
-  Peer caller, service;
+  TestConnection caller, service;
 
   setup_init_with_fake_store (&s);
   s.store.transact_error = LB_ERROR_STORE_UNKNOWN;
   s.store.get_error = LB_ERROR_STORE_AWAY;
   s.store.apply_on_error = true;
   caller_connect (&s.f, &caller);
-  send_order (&caller, "idempotency-key", "k1");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "x-not-run: 1"));
+  send_order_with_header (&caller, "idempotency-key", "k1");
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "x-not-run: 1"));
   expect_no_call_at_the_endpoint (&s);
-  peer_clear_text (&caller);
+  connection_clear_received_text (&caller);
   s.store.transact_error = LB_OK;
   s.store.get_error = LB_OK;
-  send_order (&caller, "idempotency-key", "k1");
+  send_order_with_header (&caller, "idempotency-key", "k1");
   endpoint_accept_call (&s.f, s.listener, &service);
   service_send_reply (&service, "order 7");
-  FIXTURE_WAIT_UNTIL (&s.f, peer_has_received (&caller, "order 7"));
-  peer_close (&service);
-  peer_close (&caller);
+  FIXTURE_WAIT_UNTIL (&s.f, connection_has_received (&caller, "order 7"));
+  connection_close (&service);
+  connection_close (&caller);
   fixture_clear (&s.f);
 }
