--- a/tests/process/pt-cluster.c
+++ b/tests/process/pt-cluster.c
@@ -51,7 +51,7 @@
 }
 
 static void
-poll_processes (PtCluster *cluster)
+poll_all_processes (PtCluster *cluster)
 {
   pt_process_poll (&cluster->platform.process);
   for (size_t i = 0; i < cluster->n_instances; i++)
@@ -70,7 +70,7 @@
       PT_ASSERT_MSG (lb_clock_monotonic () < deadline, "timed out waiting until %s (logs in %s)",
                      description, cluster->folder);
       si_client_pause (&cluster->client, CONDITION_POLL_INTERVAL);
-      poll_processes (cluster);
+      poll_all_processes (cluster);
     }
 }
 
@@ -84,7 +84,7 @@
 }
 
 static bool
-has_printed_address (PtCluster *cluster, void *user)
+has_standin_printed_address (PtCluster *cluster, void *user)
 {
   (void)cluster;
   PtProgram *program = user;
@@ -107,15 +107,15 @@
 
   LB_COPY (cluster->platform.name, "platform");
   start_program (cluster, &cluster->platform.process, "platform", argv);
-  pt_wait_until (cluster, "the platform prints its address", has_printed_address,
+  pt_wait_until (cluster, "the platform prints its address", has_standin_printed_address,
                  &cluster->platform);
 }
 
 static void
-spawn_endpoint_and_wait (PtCluster *cluster,
-                         PtProgram *endpoint,
-                         const char *program,
-                         const char *const *options)
+spawn_endpoint_and_wait_for_address (PtCluster *cluster,
+                                     PtProgram *endpoint,
+                                     const char *program,
+                                     const char *const *options)
 {
   const char *argv[PT_MAX_ARGS] = { program, "--name", endpoint->name };
   size_t n = 3;
@@ -123,7 +123,7 @@
   while (options && *options && n < PT_MAX_ARGS - 1)
     argv[n++] = *options++;
   start_program (cluster, &endpoint->process, endpoint->name, argv);
-  pt_wait_until (cluster, "the endpoint prints its address", has_printed_address, endpoint);
+  pt_wait_until (cluster, "the endpoint prints its address", has_standin_printed_address, endpoint);
 }
 
 static PtProgram *
@@ -135,7 +135,7 @@
   PtProgram *endpoint = &cluster->endpoints[cluster->n_endpoints++];
 
   LB_COPY (endpoint->name, name);
-  spawn_endpoint_and_wait (cluster, endpoint, program, options);
+  spawn_endpoint_and_wait_for_address (cluster, endpoint, program, options);
   return endpoint;
 }
 
@@ -143,7 +143,7 @@
 pt_restart_engine (PtCluster *cluster, PtProgram *engine, const char *const *options)
 {
   pt_process_clear (&engine->process);
-  spawn_endpoint_and_wait (cluster, engine, "standin-engine", options);
+  spawn_endpoint_and_wait_for_address (cluster, engine, "standin-engine", options);
 }
 
 PtProgram *
@@ -167,7 +167,7 @@
 }
 
 static struct json_object *
-make_seed_addresses (const PtCluster *cluster, const PtProgram *excluded)
+make_seed_addresses_json (const PtCluster *cluster, const PtProgram *excluded)
 {
   struct json_object *seeds = json_object_new_array ();
 
@@ -214,7 +214,7 @@
   si_json_set_text (self, "peer_address", "127.0.0.1:0");
   add_platform_settings (cluster, settings);
   si_json_set_text (cluster_settings, "key", "test-key");
-  json_object_object_add (cluster_settings, "seeds", make_seed_addresses (cluster, instance));
+  json_object_object_add (cluster_settings, "seeds", make_seed_addresses_json (cluster, instance));
   si_json_set_text (http, "operator_token", PT_OPERATOR_TOKEN);
   si_json_set_int (http, "request_read_ms", cluster->request_read_ms);
   si_json_set_int (calls, "stream_silence_ms", cluster->stream_silence_ms);
@@ -226,7 +226,7 @@
 }
 
 static bool
-has_written_address_file (PtCluster *cluster, void *user)
+has_instance_written_address_file (PtCluster *cluster, void *user)
 {
   PtProgram *instance = user;
   char *path = lb_asprintf ("%s/%s.address", cluster->folder, instance->name);
@@ -246,7 +246,7 @@
 }
 
 static void
-spawn_instance_and_wait (PtCluster *cluster, PtProgram *instance)
+spawn_instance_and_wait_for_addresses (PtCluster *cluster, PtProgram *instance)
 {
   char *file = lb_asprintf ("%s/%s.json", cluster->folder, instance->name);
   char *address_file = lb_asprintf ("%s/%s.address", cluster->folder, instance->name);
@@ -257,7 +257,8 @@
   PT_ASSERT (json_object_to_file (file, settings) == 0);
   json_object_put (settings);
   start_program (cluster, &instance->process, instance->name, argv);
-  pt_wait_until (cluster, "the instance writes its addresses", has_written_address_file, instance);
+  pt_wait_until (cluster, "the instance writes its addresses", has_instance_written_address_file,
+                 instance);
   free (file);
   free (address_file);
 }
@@ -269,7 +270,7 @@
 
   LB_COPY (instance->name, name);
   LB_COPY (instance->data_centre, data_centre);
-  spawn_instance_and_wait (cluster, instance);
+  spawn_instance_and_wait_for_addresses (cluster, instance);
   pt_publish_instance_list (cluster);
   return instance;
 }
@@ -278,7 +279,7 @@
 pt_restart_instance (PtCluster *cluster, PtProgram *instance)
 {
   pt_process_clear (&instance->process);
-  spawn_instance_and_wait (cluster, instance);
+  spawn_instance_and_wait_for_addresses (cluster, instance);
   pt_publish_instance_list (cluster);
 }
 
--- a/tests/process/pt-cluster.h
+++ b/tests/process/pt-cluster.h
@@ -40,7 +40,8 @@
 typedef bool (*PtCondition) (PtCluster *cluster, void *user);
 
 void pt_cluster_init (PtCluster *cluster);
-/* Kills all processes. Also deletes the folder, unless PT_KEEP is set in the environment. */
+/* Kills all processes of the cluster. Also deletes cluster->folder, unless the environment variable
+ * PT_KEEP is set. */
 void pt_cluster_clear (PtCluster *cluster);
 /* Sends SIGTERM to every running instance, waits until all have exited and asserts exit code 0. In
  * a sanitizer build a memory leak makes the exit code non-zero. */
@@ -86,13 +87,14 @@
 void pt_inject_fault (PtCluster *cluster, PtProgram *standin, const char *fault_json);
 /* Returns the stand-in's log (JSON object); the caller releases it. */
 struct json_object *pt_read_standin_log (PtCluster *cluster, PtProgram *standin);
-/* Returns a number of the stand-in's log; -1: the log has no such key. */
+/* Returns the number under `key` in the stand-in's JSON log; -1: the log has no such key. */
 int64_t pt_read_standin_log_counter (PtCluster *cluster, PtProgram *standin, const char *key);
 /* Returns how often the endpoint started the call that `key` identifies: by the x-order header
  * of the call, or by its prompt or body if it has no such header. */
 int64_t pt_count_call_runs (PtCluster *cluster, PtProgram *endpoint, const char *key);
 
-/* Each starts a stand-in client that sends its calls to the instances running now. */
+/* Each of these two functions starts a stand-in client that sends its calls to the instances that
+ * run at that moment. */
 void pt_start_trainer (PtCluster *cluster, PtProcess *trainer, const char *const *options);
 void pt_start_load_generator (PtCluster *cluster, PtProcess *load, const char *const *options);
 /* Waits until the stand-in client ends and returns the JSON summary that it printed; the caller
--- a/tests/process/pt-process.c
+++ b/tests/process/pt-process.c
@@ -68,7 +68,7 @@
 }
 
 static void
-read_output (PtProcess *process)
+read_process_output (PtProcess *process)
 {
   char buffer[4096];
   ssize_t n;
@@ -88,7 +88,7 @@
   if (process->pid > 0 && !process->ended)
     process->ended = waitpid (process->pid, &process->status, WNOHANG) == process->pid;
   if (process->pid > 0)
-    read_output (process);
+    read_process_output (process);
 }
 
 bool
--- a/tests/process/pt-relay.c
+++ b/tests/process/pt-relay.c
@@ -17,8 +17,8 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
-/* Interval at which a chunk that has had its delay is checked again, while an earlier chunk is
- * not yet written. */
+/* Interval at which the relay tries again to forward a chunk whose delay has elapsed, while an
+ * earlier chunk still waits. */
 #define CHUNK_ORDER_POLL_INTERVAL (2 * LB_MSEC)
 
 /* A client's connection to the relay, and the relay's connection to the target for that client. */
@@ -144,7 +144,7 @@
 }
 
 static void
-enable_callbacks (Connection *connection, struct bufferevent *side)
+enable_relay_callbacks (Connection *connection, struct bufferevent *side)
 {
   bufferevent_setcb (side, on_data_received, NULL, on_connection_event, connection);
   bufferevent_enable (side, EV_READ | EV_WRITE);
@@ -175,8 +175,8 @@
       evutil_parse_sockaddr_port (relay->target_address, (struct sockaddr *)&target, &target_length)
       == 0);
   bufferevent_socket_connect (connection->server, (struct sockaddr *)&target, target_length);
-  enable_callbacks (connection, connection->client);
-  enable_callbacks (connection, connection->server);
+  enable_relay_callbacks (connection, connection->client);
+  enable_relay_callbacks (connection, connection->server);
 }
 
 /* Binds a socket to a free port and never listens on it, so that no other program can take the port
--- a/tests/process/pt-resources.c
+++ b/tests/process/pt-resources.c
@@ -131,7 +131,7 @@
 
 /* Returns -1 if the instance does not respond. */
 static int64_t
-read_active_revision (PtCluster *cluster, const PtProgram *instance)
+read_active_config_revision (PtCluster *cluster, const PtProgram *instance)
 {
   const LhHeader headers[] = { { "authorization", "Bearer " PT_OPERATOR_TOKEN } };
   const SiCall call = { .method = "GET",
@@ -153,7 +153,7 @@
 }
 
 static bool
-have_all_instances_same_revision (PtCluster *cluster, void *user)
+have_all_instances_same_config_revision (PtCluster *cluster, void *user)
 {
   (void)user;
   int64_t newest = 0;
@@ -163,7 +163,7 @@
     {
       if (cluster->instances[i].process.ended)
         continue;
-      int64_t revision = read_active_revision (cluster, &cluster->instances[i]);
+      int64_t revision = read_active_config_revision (cluster, &cluster->instances[i]);
       newest = revision > newest ? revision : newest;
       oldest = revision < oldest ? revision : oldest;
     }
@@ -174,5 +174,5 @@
 pt_wait_until_instances_have_same_revision (PtCluster *cluster)
 {
   pt_wait_until (cluster, "all instances report the same active revision",
-                 have_all_instances_same_revision, NULL);
+                 have_all_instances_same_config_revision, NULL);
 }
--- a/tests/process/pt-shared.c
+++ b/tests/process/pt-shared.c
@@ -354,9 +354,9 @@
   return next;
 }
 
-/* Tests that the text consists of the lines "ITEM.1" to "ITEM.N" for N events. */
+/* Returns whether the text consists of the lines "ITEM.1" to "ITEM.N", where N is `events`. */
 static bool
-is_expected_sample_text (const char *item, const char *text, int events)
+is_complete_sample_text (const char *item, const char *text, int events)
 {
   char *expected = lb_strdup ("");
 
@@ -390,7 +390,7 @@
       int number = atoi (item + strlen ("item"));
       snprintf (score, sizeof score, "stamp-score%d", number);
       PT_ASSERT (strcmp (lb_json_text (result, "state", ""), "completed") == 0);
-      PT_ASSERT (is_expected_sample_text (item, lb_json_text (result, "text", ""),
+      PT_ASSERT (is_complete_sample_text (item, lb_json_text (result, "text", ""),
                                           cluster->engines[0].n_events));
       PT_ASSERT (strcmp (lb_json_text (result, "score", ""), score) == 0);
       PT_ASSERT_MSG (times_listed[number]++ == 0, "result of %s is listed more than once", item);
--- a/tests/process/pt-shared.h
+++ b/tests/process/pt-shared.h
@@ -77,7 +77,8 @@
 /* Starts an instance, waits until it is ready and returns its index in cluster->instances. The
  * parameter `instance` of the other functions is that index. */
 size_t ps_start_instance (PsCluster *cluster);
-/* Like ps_start_instance, but returns as soon as the instance has written its addresses. */
+/* Like ps_start_instance, but does not wait until the instance is ready, only until it has written
+ * its address file. */
 size_t ps_spawn_instance (PsCluster *cluster);
 /* Kills the instance if it runs, starts it again with the same settings and waits until it is
  * ready. */
@@ -111,8 +112,8 @@
 ps_read_first_results_page (PsCluster *cluster, size_t instance, const char *id);
 /* Returns the number of results on the first page; -1 if the request was rejected. */
 int64_t ps_count_results_on_first_page (PsCluster *cluster, size_t instance, const char *id);
-/* Asserts that the batch lists each of its n_items exactly once, with the complete text and with
- * the score that its own scorer call returned. */
+/* Asserts that the batch's results contain each of its n_items exactly once, with the complete text
+ * and with the score that the scorer call of that item returned. */
 void ps_assert_each_item_has_one_result (PsCluster *cluster,
                                          size_t instance,
                                          const char *id,
--- a/tests/process/test-chaos.c
+++ b/tests/process/test-chaos.c
@@ -11,7 +11,7 @@
 
 #define N_STEPS "5" /* steps that the trainer runs */
 #define N_INJECTED_FAULTS 24
-#define STEP_STORED_WAIT (5 * LB_SEC) /* time to store a step that was opened in an outage */
+#define STEP_STORED_WAIT (5 * LB_SEC) /* time until a step opened in a store outage is stored */
 /* A weight version is published once per this number of faults; the trainer needs a new one for
  * each of its steps. */
 #define FAULTS_PER_WEIGHT_VERSION 4
@@ -37,7 +37,7 @@
 } Fixture;
 
 static void
-start_cluster_processes (Fixture *fixture)
+start_instances_and_endpoints (Fixture *fixture)
 {
   static const char *const service_options[] = { "--latency-ms", "30", NULL };
   PtCluster *cluster = &fixture->cluster;
@@ -108,7 +108,7 @@
 }
 
 static void
-pause_for_random_time (Fixture *fixture, int low_ms, int high_ms)
+sleep_for_random_time (Fixture *fixture, int low_ms, int high_ms)
 {
   int span_ms = high_ms - low_ms;
 
@@ -122,7 +122,7 @@
   PtProgram *engine = fixture->engines[draw_random_index (fixture, 4)];
 
   pt_process_signal (&engine->process, SIGKILL);
-  pause_for_random_time (fixture, 300, 1200);
+  sleep_for_random_time (fixture, 300, 1200);
   pt_restart_engine (&fixture->cluster, engine, engine_options);
   pt_configure_cluster_at_any_instance (&fixture->cluster);
 }
@@ -141,7 +141,7 @@
 
   pt_inject_fault (&fixture->cluster, engine,
                    requests[draw_random_index (fixture, sizeof requests / sizeof requests[0])]);
-  pause_for_random_time (fixture, 300, 900);
+  sleep_for_random_time (fixture, 300, 900);
   pt_inject_fault (&fixture->cluster, engine, "{\"mode\": \"none\"}");
 }
 
@@ -155,7 +155,7 @@
 
   pt_inject_fault (&fixture->cluster, service,
                    requests[draw_random_index (fixture, sizeof requests / sizeof requests[0])]);
-  pause_for_random_time (fixture, 200, 700);
+  sleep_for_random_time (fixture, 200, 700);
   pt_inject_fault (&fixture->cluster, service, "{\"mode\": \"none\"}");
 }
 
@@ -168,7 +168,7 @@
 
   pt_inject_fault (&fixture->cluster, &fixture->cluster.platform,
                    requests[draw_random_index (fixture, sizeof requests / sizeof requests[0])]);
-  pause_for_random_time (fixture, 300, 2000);
+  sleep_for_random_time (fixture, 300, 2000);
   pt_inject_fault (&fixture->cluster, &fixture->cluster.platform, "{\"mode\": \"none\"}");
 }
 
@@ -178,7 +178,7 @@
   PtProgram *instance = &fixture->cluster.instances[draw_random_index (fixture, 3)];
 
   pt_process_signal (&instance->process, SIGSTOP);
-  pause_for_random_time (fixture, 500, 2500);
+  sleep_for_random_time (fixture, 500, 2500);
   pt_process_signal (&instance->process, SIGCONT);
 }
 
@@ -191,12 +191,12 @@
             (long long)++fixture->newest_version);
   json_object_put (si_client_call_json (&fixture->cluster.client, fixture->cluster.platform.address,
                                         "/control", request));
-  pause_for_random_time (fixture, 300, 900);
+  sleep_for_random_time (fixture, 300, 900);
 }
 
-/* Kills and replaces instance 0 at the first call, instance 1 at the second one, and none after
- * that. Instance 2 survives, because the trainer has a fixed address list and needs one address
- * that stays valid. */
+/* Kills and replaces instance 0 when it is called first, instance 1 when it is called again, and
+ * none after that. Instance 2 survives, because the trainer has a fixed address list and needs one
+ * address that stays valid. */
 static void
 kill_and_replace_next_instance (Fixture *fixture)
 {
@@ -207,7 +207,7 @@
   si_client_pause (&fixture->cluster.client, STEP_STORED_WAIT);
   PtProgram *instance = &fixture->cluster.instances[fixture->n_killed_instances++];
   pt_process_signal (&instance->process, SIGKILL);
-  pause_for_random_time (fixture, 300, 1500);
+  sleep_for_random_time (fixture, 300, 1500);
   pt_restart_instance (&fixture->cluster, instance);
 }
 
@@ -228,7 +228,7 @@
                            "{\"mode\": \"lose_reply\", \"count\": 2}");
         }
       faults[draw_random_index (fixture, sizeof faults / sizeof faults[0])](fixture);
-      pause_for_random_time (fixture, 50, 300);
+      sleep_for_random_time (fixture, 50, 300);
     }
 }
 
@@ -249,18 +249,18 @@
       = pt_wait_for_client_summary (&fixture->cluster, &fixture->completion_load);
 
   cr_assert_eq (si_json_get_int (summary, "wrong", -1), 0,
-                "wrong or truncated completions: %s (logs in %s)",
+                "expected no wrong completion, got the summary %s (logs in %s)",
                 json_object_to_json_string (summary), fixture->cluster.folder);
   /* A response may end without [DONE] or a typed error only if its instance was killed. */
   cr_assert (fixture->kills_instances || si_json_get_int (summary, "cut", -1) == 0,
-             "wrong or truncated completions: %s (logs in %s)",
+             "expected no truncated completion, got the summary %s (logs in %s)",
              json_object_to_json_string (summary), fixture->cluster.folder);
   cr_assert_gt (si_json_get_int (summary, "whole", 0), 50);
   json_object_put (summary);
 }
 
 static int64_t
-get_run_count (struct json_object *log, const char *key)
+get_run_count_from_log (struct json_object *log, const char *key)
 {
   struct json_object *runs = NULL;
 
@@ -283,15 +283,16 @@
   for (int64_t i = 0; i < si_json_get_int (summary, "calls", 0); i++)
     {
       snprintf (key, sizeof key, "shop asks for the %lldth time", (long long)i);
-      cr_assert_leq (get_run_count (logs[0], key) + get_run_count (logs[1], key), 1,
-                     "order ran twice: %s (logs in %s)", key, fixture->cluster.folder);
+      cr_assert_leq (get_run_count_from_log (logs[0], key) + get_run_count_from_log (logs[1], key),
+                     1, "order ran twice: %s (logs in %s)", key, fixture->cluster.folder);
     }
   json_object_object_get_ex (summary, "not_run_keys", &not_run);
   for (size_t i = 0; i < json_object_array_length (not_run); i++)
     {
       const char *not_run_key = json_object_get_string (json_object_array_get_idx (not_run, i));
-      cr_assert_eq (get_run_count (logs[0], not_run_key) + get_run_count (logs[1], not_run_key), 0,
-                    "order reported as not run has run: %s (logs in %s)", not_run_key,
+      cr_assert_eq (get_run_count_from_log (logs[0], not_run_key)
+                        + get_run_count_from_log (logs[1], not_run_key),
+                    0, "order reported as not run has run: %s (logs in %s)", not_run_key,
                     fixture->cluster.folder);
     }
   json_object_put (logs[0]);
@@ -301,7 +302,7 @@
 
 /* Returns the number in the environment variable PT_SEED, or the default if it is not set. */
 static unsigned long
-get_random_seed (unsigned long default_seed)
+get_seed_from_environment (unsigned long default_seed)
 {
   const char *text = getenv ("PT_SEED");
 
@@ -314,8 +315,8 @@
   Fixture fixture = { .newest_version = 40, .kills_instances = kills_instances };
 
   fixture.rng = gsl_rng_alloc (gsl_rng_taus2);
-  gsl_rng_set (fixture.rng, get_random_seed (seed));
-  start_cluster_processes (&fixture);
+  gsl_rng_set (fixture.rng, get_seed_from_environment (seed));
+  start_instances_and_endpoints (&fixture);
   start_trainer_and_load_generators (&fixture);
   inject_random_faults (&fixture);
   check_completion_load_summary (&fixture);
--- a/tests/process/test-config.c
+++ b/tests/process/test-config.c
@@ -86,7 +86,7 @@
 }
 
 static bool
-sees_all_instances_alive (PtCluster *cluster, void *user)
+does_instance_report_all_alive (PtCluster *cluster, void *user)
 {
   struct json_object *status = read_instance_status (user);
   struct json_object *instances = json_object_object_get (status, "instances");
@@ -102,7 +102,7 @@
 }
 
 static void
-start_instances_and_wait (size_t n)
+start_instances_and_wait_until_ready (size_t n)
 {
   static const char *const names[] = { "i1", "i2", "i3", "i4" };
 
@@ -112,15 +112,15 @@
     {
       pt_wait_until_instance_ready (&test_cluster, &test_cluster.instances[i]);
       pt_wait_until (&test_cluster, "the instance reports all instances as alive",
-                     sees_all_instances_alive, &test_cluster.instances[i]);
+                     does_instance_report_all_alive, &test_cluster.instances[i]);
     }
 }
 
 static int
-apply_change_and_get_status (PtProgram *instance,
-                             const char *changes,
-                             const char *if_match,
-                             LbName error)
+post_resource_changes_and_get_status (PtProgram *instance,
+                                      const char *changes,
+                                      const char *if_match,
+                                      LbName error)
 {
   SiResponse response;
 
@@ -132,7 +132,7 @@
 }
 
 static int64_t
-read_active_revision (const PtProgram *instance)
+read_active_config_revision (const PtProgram *instance)
 {
   struct json_object *status = read_instance_status (instance);
   int64_t revision = status ? si_json_get_int (status, "revision", -1) : -1;
@@ -142,10 +142,10 @@
 }
 
 static bool
-is_revision_2_active (PtCluster *cluster, void *user)
+is_config_revision_2_active (PtCluster *cluster, void *user)
 {
   (void)cluster;
-  return read_active_revision (user) == 2;
+  return read_active_config_revision (user) == 2;
 }
 
 /* Two operators read revision 1 and change the same pool at two instances. The second change must
@@ -155,18 +155,23 @@
 {
   LbName error;
 
-  start_instances_and_wait (2);
+  start_instances_and_wait_until_ready (2);
   PtProgram *first = &test_cluster.instances[0], *second = &test_cluster.instances[1];
-  cr_assert_eq (apply_change_and_get_status (first, SET_QUEUE_LIMIT_JSON (1), "\"0\"", error), 200,
-                "change rejected with error %s", error);
-  cr_assert_eq (apply_change_and_get_status (first, SET_QUEUE_LIMIT_JSON (2), "\"1\"", error), 200,
-                "change rejected with error %s", error);
-  cr_assert_eq (apply_change_and_get_status (second, SET_QUEUE_LIMIT_JSON (3), "\"1\"", error),
+  cr_assert_eq (post_resource_changes_and_get_status (first, SET_QUEUE_LIMIT_JSON (1), "\"0\"",
+                                                      error),
+                200, "change rejected with error %s", error);
+  cr_assert_eq (post_resource_changes_and_get_status (first, SET_QUEUE_LIMIT_JSON (2), "\"1\"",
+                                                      error),
+                200, "change rejected with error %s", error);
+  cr_assert_eq (post_resource_changes_and_get_status (second, SET_QUEUE_LIMIT_JSON (3), "\"1\"",
+                                                      error),
                 409);
   cr_assert_str_eq (error, "conflict");
-  cr_assert_eq (apply_change_and_get_status (second, SET_QUEUE_LIMIT_JSON (3), NULL, error), 400);
-  pt_wait_until (&test_cluster, "revision 2 is active on the other instance", is_revision_2_active,
-                 second);
+  cr_assert_eq (post_resource_changes_and_get_status (second, SET_QUEUE_LIMIT_JSON (3), NULL,
+                                                      error),
+                400);
+  pt_wait_until (&test_cluster, "revision 2 is active on the other instance",
+                 is_config_revision_2_active, second);
 
   const SiCall call
       = { .method = "POST", .address = first->address, .path = "/v1/resources", .body = "{}" };
@@ -184,17 +189,19 @@
 {
   LbName error;
 
-  start_instances_and_wait (2);
+  start_instances_and_wait_until_ready (2);
   PtProgram *first = &test_cluster.instances[0];
-  cr_assert_eq (apply_change_and_get_status (first, SET_QUEUE_LIMIT_JSON (1), "\"0\"", error), 200,
-                "change rejected with error %s", error);
+  cr_assert_eq (post_resource_changes_and_get_status (first, SET_QUEUE_LIMIT_JSON (1), "\"0\"",
+                                                      error),
+                200, "change rejected with error %s", error);
   pt_inject_fault (&test_cluster, &test_cluster.platform,
                    "{\"mode\": \"lose_reply\", \"path\": \"/table/transact\"}");
-  cr_assert_eq (apply_change_and_get_status (first, SET_QUEUE_LIMIT_JSON (2), "\"1\"", error), 200,
-                "change rejected with error %s", error);
-  pt_wait_until (&test_cluster, "revision 2 is active on the other instance", is_revision_2_active,
-                 &test_cluster.instances[1]);
-  cr_assert_eq (read_active_revision (first), 2);
+  cr_assert_eq (post_resource_changes_and_get_status (first, SET_QUEUE_LIMIT_JSON (2), "\"1\"",
+                                                      error),
+                200, "change rejected with error %s", error);
+  pt_wait_until (&test_cluster, "revision 2 is active on the other instance",
+                 is_config_revision_2_active, &test_cluster.instances[1]);
+  cr_assert_eq (read_active_config_revision (first), 2);
 }
 
 /* The store is down for 10 s and an instance is replaced meanwhile. Callers must not notice: the
@@ -204,16 +211,16 @@
 {
   LbName error;
 
-  start_instances_and_wait (3);
-  cr_assert_eq (apply_change_and_get_status (&test_cluster.instances[0], SET_QUEUE_LIMIT_JSON (1),
-                                             "\"0\"", error),
+  start_instances_and_wait_until_ready (3);
+  cr_assert_eq (post_resource_changes_and_get_status (&test_cluster.instances[0],
+                                                      SET_QUEUE_LIMIT_JSON (1), "\"0\"", error),
                 200, "change rejected with error %s", error);
-  cr_assert_eq (apply_change_and_get_status (&test_cluster.instances[0], SET_QUEUE_LIMIT_JSON (2),
-                                             "\"1\"", error),
+  cr_assert_eq (post_resource_changes_and_get_status (&test_cluster.instances[0],
+                                                      SET_QUEUE_LIMIT_JSON (2), "\"1\"", error),
                 200, "change rejected with error %s", error);
   pt_inject_fault (&test_cluster, &test_cluster.platform, "{\"mode\": \"down\"}");
-  cr_assert_eq (apply_change_and_get_status (&test_cluster.instances[0], SET_QUEUE_LIMIT_JSON (3),
-                                             "\"2\"", error),
+  cr_assert_eq (post_resource_changes_and_get_status (&test_cluster.instances[0],
+                                                      SET_QUEUE_LIMIT_JSON (3), "\"2\"", error),
                 503);
   cr_assert_str_eq (error, "store_away");
   si_client_pause (&test_cluster.client, STORE_OUTAGE_DURATION);
@@ -223,7 +230,7 @@
 
   pt_restart_instance (&test_cluster, &test_cluster.instances[2]);
   pt_wait_until_instance_ready (&test_cluster, &test_cluster.instances[2]);
-  cr_assert_eq (read_active_revision (&test_cluster.instances[2]), 2);
+  cr_assert_eq (read_active_config_revision (&test_cluster.instances[2]), 2);
   pt_inject_fault (&test_cluster, &test_cluster.platform, "{\"mode\": \"none\"}");
 }
 
@@ -232,7 +239,7 @@
  * back and confirms the configuration. */
 Test (config, last_instance_without_store_rejects_new_work)
 {
-  start_instances_and_wait (3);
+  start_instances_and_wait_until_ready (3);
   PtProgram *engine = pt_start_engine (&test_cluster, "engine-1", NULL);
   PtProgram *last = &test_cluster.instances[2];
   const SiCheckedCallSpec spec
@@ -338,7 +345,7 @@
   static const char *const unfenced_options[]
       = { "--version", "40", "--load-ms", "300", "--not-checking-fence", NULL };
 
-  start_instances_and_wait (3);
+  start_instances_and_wait_until_ready (3);
   pt_start_engine (&test_cluster, "engine-1", fenced_options);
   pt_start_engine (&test_cluster, "engine-2", fenced_options);
   pt_start_engine (&test_cluster, "engine-3", fenced_options);
@@ -411,12 +418,12 @@
                  have_all_engines_weight_version, &version);
 
   version = 40;
-  cr_assert_eq (
-      apply_change_and_get_status (&test_cluster.instances[1],
-                                   "{\"apply\": [{\"kind\": \"pool\", \"name\": \"reader\", "
-                                   "\"weight_version\": 40}]}",
-                                   "\"1\"", error),
-      200, "change rejected with error %s", error);
+  cr_assert_eq (post_resource_changes_and_get_status (
+                    &test_cluster.instances[1],
+                    "{\"apply\": [{\"kind\": \"pool\", \"name\": \"reader\", "
+                    "\"weight_version\": 40}]}",
+                    "\"1\"", error),
+                200, "change rejected with error %s", error);
   pt_wait_until (&test_cluster, "all engines have weight version 40",
                  have_all_engines_weight_version, &version);
 }
--- a/tests/process/test-crashing-services.c
+++ b/tests/process/test-crashing-services.c
@@ -16,7 +16,7 @@
 #define N_FATAL_CALL_REPEATS 6    /* fatal calls sent after the third crash */
 
 static void
-start_cluster (PtCluster *cluster)
+start_cluster_with_crashing_services (PtCluster *cluster)
 {
   static const char *const names[] = { "lookup-1", "lookup-2", "lookup-3", "lookup-4" };
   static const char *const options[] = { "--crash-on", FATAL_CALL, NULL };
@@ -33,7 +33,7 @@
 }
 
 static SiCheckedCallResult
-send_call (PtCluster *cluster, size_t instance, const char *text)
+send_order_call (PtCluster *cluster, size_t instance, const char *text)
 {
   const SiCheckedCallSpec spec
       = { .kind = SI_CHECKED_CALL_SERVICE,
@@ -62,7 +62,7 @@
 static bool
 is_fatal_call_quarantined (PtCluster *cluster, void *user)
 {
-  return strcmp (send_call (cluster, *(size_t *)user, FATAL_CALL).error, "quarantined") == 0;
+  return strcmp (send_order_call (cluster, *(size_t *)user, FATAL_CALL).error, "quarantined") == 0;
 }
 
 static void
@@ -70,7 +70,7 @@
 {
   for (size_t i = 0; count_crashed_services (cluster) < N_CRASHES_TO_QUARANTINE; i++)
     {
-      send_call (cluster, i % cluster->n_instances, FATAL_CALL);
+      send_order_call (cluster, i % cluster->n_instances, FATAL_CALL);
       si_client_pause (&cluster->client, 50 * LB_MSEC);
     }
 }
@@ -94,18 +94,18 @@
 {
   cr_assert_eq (count_crashed_services (cluster), N_CRASHES_TO_QUARANTINE);
   for (size_t i = 0; i < cluster->n_instances; i++)
-    cr_assert_eq (send_call (cluster, i, HARMLESS_CALL).outcome, SI_CALL_COMPLETE);
+    cr_assert_eq (send_order_call (cluster, i, HARMLESS_CALL).outcome, SI_CALL_COMPLETE);
 }
 
 Test (crashing_services, all_instances_quarantine_the_call)
 {
   PtCluster cluster;
 
-  start_cluster (&cluster);
+  start_cluster_with_crashing_services (&cluster);
   crash_three_services (&cluster);
   for (size_t i = 0; i < N_FATAL_CALL_REPEATS; i++)
     {
-      SiCheckedCallResult result = send_call (&cluster, i % cluster.n_instances, FATAL_CALL);
+      SiCheckedCallResult result = send_order_call (&cluster, i % cluster.n_instances, FATAL_CALL);
       cr_assert_eq (result.outcome, SI_CALL_NOT_RUN, "expected SI_CALL_NOT_RUN, got error '%s'",
                     result.error);
       cr_assert_str_eq (result.error, "quarantined");
@@ -123,7 +123,7 @@
 {
   PtCluster cluster;
 
-  start_cluster (&cluster);
+  start_cluster_with_crashing_services (&cluster);
   crash_three_services (&cluster);
   pt_wait_until (&cluster, "all crash reports are stored", are_all_crash_reports_stored, NULL);
   for (size_t i = 0; i < cluster.n_instances; i++)
--- a/tests/process/test-crashing.c
+++ b/tests/process/test-crashing.c
@@ -23,7 +23,7 @@
 #define N_LOOKUPS 3
 #define FATAL_BODY "BAD"
 #define FATAL_BODY_BASE64 "QkFE"
-/* Within this time after the third crash, all instances must know of the crashes. */
+/* Within this time after the third crash, all instances must have learnt of the three crashes. */
 #define CRASH_PROPAGATION_TIME (3 * LB_SEC)
 /* allowed runs of a fatal request after CRASH_PROPAGATION_TIME */
 #define MAX_RUNS_AFTER_PROPAGATION 3
@@ -46,7 +46,7 @@
       " \"unsafe\", \"timeoutMs\": 20000, \"service\": \"lookups\", \"attempts\": 3}";
 
 static void
-fixture_init (Fixture *fixture)
+fixture_start_cluster_with_crashing_endpoints (Fixture *fixture)
 {
   static const char *const names[] = { "i-lookup-b", "i-lookup-c" };
 
@@ -156,7 +156,7 @@
 /* Sends the fatal call to the instances in turn, N_FATAL_CALL_REPEATS times. Before each one, a
  * harmless call must succeed at that instance: it proves that the instance has a live endpoint. */
 static void
-repeat_fatal_call (Fixture *fixture, const char *path)
+repeat_fatal_call_at_all_instances (Fixture *fixture, const char *path)
 {
   for (size_t i = 0; i < N_FATAL_CALL_REPEATS; i++)
     {
@@ -167,7 +167,7 @@
 }
 
 static void
-assert_rejected_with_retry_time (const Fixture *fixture)
+assert_call_rejected_with_retry_time (const Fixture *fixture)
 {
   cr_assert_eq (fixture->cluster.response_status, 503, "expected status 503, got %d: %s",
                 fixture->cluster.response_status, fixture->cluster.response_body);
@@ -180,13 +180,13 @@
 {
   Fixture fixture;
 
-  fixture_init (&fixture);
+  fixture_start_cluster_with_crashing_endpoints (&fixture);
   crash_three_lookup_endpoints (&fixture, "/lookup/7");
   run_event_loop_for (&fixture, CRASH_PROPAGATION_TIME);
   int runs_before = count_fatal_lookup_runs (&fixture);
-  repeat_fatal_call (&fixture, "/lookup/7");
+  repeat_fatal_call_at_all_instances (&fixture, "/lookup/7");
   cr_assert_leq (count_fatal_lookup_runs (&fixture) - runs_before, MAX_RUNS_AFTER_PROPAGATION);
-  assert_rejected_with_retry_time (&fixture);
+  assert_call_rejected_with_retry_time (&fixture);
   cr_assert (is_call_served (&fixture, 0, "/lookup/7", "GOOD"));
   cr_assert (is_call_served (&fixture, 1, "/lookup/9", "BAD?"));
   fixture_clear (&fixture);
@@ -198,13 +198,13 @@
 {
   Fixture fixture;
 
-  fixture_init (&fixture);
+  fixture_start_cluster_with_crashing_endpoints (&fixture);
   crash_three_lookup_endpoints (&fixture, "/once/7");
   run_event_loop_for (&fixture, CRASH_PROPAGATION_TIME);
   int runs_before = count_fatal_lookup_runs (&fixture);
-  repeat_fatal_call (&fixture, "/once/7");
+  repeat_fatal_call_at_all_instances (&fixture, "/once/7");
   cr_assert_leq (count_fatal_lookup_runs (&fixture) - runs_before, MAX_RUNS_AFTER_PROPAGATION);
-  assert_rejected_with_retry_time (&fixture);
+  assert_call_rejected_with_retry_time (&fixture);
   fixture_clear (&fixture);
 }
 
@@ -214,7 +214,7 @@
 {
   Fixture fixture;
 
-  fixture_init (&fixture);
+  fixture_start_cluster_with_crashing_endpoints (&fixture);
   crash_three_lookup_endpoints (&fixture, "/lookup/7");
   run_event_loop_for (&fixture, CRASH_PROPAGATION_TIME);
   int runs_before = count_fatal_lookup_runs (&fixture);
@@ -222,9 +222,9 @@
     pt_process_clear (&fixture.cluster.instances[i].process);
   for (size_t i = 0; i < PS_MAX_INSTANCES; i++)
     ps_restart_instance (&fixture.cluster, i);
-  repeat_fatal_call (&fixture, "/lookup/7");
+  repeat_fatal_call_at_all_instances (&fixture, "/lookup/7");
   cr_assert_leq (count_fatal_lookup_runs (&fixture) - runs_before, MAX_RUNS_AFTER_PROPAGATION);
-  assert_rejected_with_retry_time (&fixture);
+  assert_call_rejected_with_retry_time (&fixture);
   fixture_clear (&fixture);
 }
 
@@ -234,7 +234,7 @@
 {
   Fixture fixture;
 
-  fixture_init (&fixture);
+  fixture_start_cluster_with_crashing_endpoints (&fixture);
   fixture.cluster.store.mode = SI_ROW_STORE_UNAVAILABLE;
   PS_WAIT_UNTIL (&fixture.cluster,
                  (ps_call_and_wait (&fixture.cluster, 0, "POST", "/lookup/7", "c", FATAL_BODY),
@@ -242,7 +242,7 @@
   fixture.cluster.store.mode = SI_ROW_STORE_NORMAL;
   run_event_loop_for (&fixture, CRASH_PROPAGATION_TIME);
   int runs_before = count_fatal_lookup_runs (&fixture);
-  repeat_fatal_call (&fixture, "/lookup/7");
+  repeat_fatal_call_at_all_instances (&fixture, "/lookup/7");
   cr_assert_leq (count_fatal_lookup_runs (&fixture) - runs_before, MAX_RUNS_AFTER_PROPAGATION);
   fixture_clear (&fixture);
 }
@@ -273,7 +273,7 @@
 {
   Fixture fixture;
 
-  fixture_init (&fixture);
+  fixture_start_cluster_with_crashing_endpoints (&fixture);
   submit_fatal_batch (&fixture, false);
   PS_WAIT_UNTIL (&fixture.cluster, count_engine_crashes (&fixture) >= 3);
   run_event_loop_for (&fixture, CRASH_PROPAGATION_TIME);
@@ -294,7 +294,7 @@
 {
   Fixture fixture;
 
-  fixture_init (&fixture);
+  fixture_start_cluster_with_crashing_endpoints (&fixture);
   submit_fatal_batch (&fixture, true);
   PS_WAIT_UNTIL (&fixture.cluster, count_lookup_crashes (&fixture) >= 3);
   run_event_loop_for (&fixture, CRASH_PROPAGATION_TIME);
--- a/tests/process/test-daemon.c
+++ b/tests/process/test-daemon.c
@@ -41,7 +41,7 @@
 }
 
 static void
-read_file (const char *path, char *text, size_t size)
+read_text_file (const char *path, char *text, size_t size)
 {
   FILE *in = fopen (path, "r");
   size_t length = in ? fread (text, 1, size - 1, in) : 0;
@@ -52,7 +52,7 @@
 }
 
 static void
-write_file (const char *path, const char *text)
+write_text_file (const char *path, const char *text)
 {
   FILE *out = fopen (path, "w");
 
@@ -79,14 +79,14 @@
                                            log_path),
                 2);
 
-  write_file (settings_path, "{ \"seed\": 1 } // good\n");
+  write_text_file (settings_path, "{ \"seed\": 1 } // good\n");
   const char *const check[] = { "lentilspindled", "--check", "--config", settings_path, NULL };
   const char *const run[] = { "lentilspindled", "--config", settings_path, NULL };
   cr_assert_eq (run_program_for_exit_code (check, log_path), 0);
-  write_file (settings_path, "{\n  \"http\": { \"max_body\": 1 } }\n");
+  write_text_file (settings_path, "{\n  \"http\": { \"max_body\": 1 } }\n");
   cr_assert_eq (run_program_for_exit_code (check, log_path), 2);
   cr_assert_eq (run_program_for_exit_code (run, log_path), 2);
-  read_file (log_path, text, sizeof text);
+  read_text_file (log_path, text, sizeof text);
   cr_assert (strstr (text, "http.max_body"), "expected http.max_body in the log, got %s", text);
   cr_assert (strstr (text, settings_path), "expected the path of the settings in the log, got %s",
              text);
@@ -121,7 +121,7 @@
   port = atoi (address + strlen ("127.0.0.1:"));
   snprintf (address_settings, sizeof address_settings,
             "{\"instance\": {\"caller_address\": \"127.0.0.1:%d\"}}", port);
-  write_file (settings_path, address_settings);
+  write_text_file (settings_path, address_settings);
   const char *const daemon_argv[] = { "lentilspindled", "--config", settings_path, NULL };
   cr_assert_eq (run_program_until_exit (daemon_argv, log_path, text, sizeof text), 1);
   cr_assert (strstr (text, "front_cannot_listen"),
--- a/tests/process/test-drain.c
+++ b/tests/process/test-drain.c
@@ -139,7 +139,7 @@
 /* Both instances get SIGTERM while the store does not respond, and drop the requests that wait for
  * the store. In a sanitizer build a leak or a use after free of such a request makes the exit code
  * non-zero. */
-Test (drain, exit_is_clean_while_the_store_hangs)
+Test (drain, instances_exit_with_0_while_the_store_hangs)
 {
   static const char *const engine_options[] = { "--version", "1", NULL };
   PtCluster cluster;
--- a/tests/process/test-duties.c
+++ b/tests/process/test-duties.c
@@ -28,7 +28,7 @@
 }
 
 static void
-send_calls_with_key (PsCluster *cluster, size_t instance, const char *key, int n)
+send_calls_with_api_key (PsCluster *cluster, size_t instance, const char *key, int n)
 {
   static int n_sent;
   char id[16];
@@ -65,7 +65,7 @@
 }
 
 static void
-check_usage_reports_and_clear (PsCluster *cluster)
+check_usage_reports_and_clear_cluster (PsCluster *cluster)
 {
   cr_assert_eq (cluster->control_plane.conflicting_reports, 0);
   cr_assert_eq (cluster->control_plane.unidentified_calls, 0);
@@ -77,12 +77,12 @@
   PsCluster cluster;
 
   start_cluster_with_usage_reports (&cluster);
-  send_calls_with_key (&cluster, 0, "post-1", 5);
-  send_calls_with_key (&cluster, 1, "post-1", 2);
-  send_calls_with_key (&cluster, 1, "mill-1", 3);
+  send_calls_with_api_key (&cluster, 0, "post-1", 5);
+  send_calls_with_api_key (&cluster, 1, "post-1", 2);
+  send_calls_with_api_key (&cluster, 1, "mill-1", 3);
   PS_WAIT_UNTIL (&cluster, is_reported_usage_equal (&cluster, 7, 3));
   cr_assert_eq (cluster.control_plane.stale_calls, 0);
-  check_usage_reports_and_clear (&cluster);
+  check_usage_reports_and_clear_cluster (&cluster);
 }
 
 /* A call takes 8 s, longer than its usage window stays open. It must be reported in the window in
@@ -100,47 +100,47 @@
   cr_assert_eq (cluster.n_responses, responses_before, "the call ended before it was reported");
   PS_WAIT_UNTIL (&cluster, cluster.n_responses > responses_before);
   cr_assert_eq (cluster.response_status, 200);
-  check_usage_reports_and_clear (&cluster);
+  check_usage_reports_and_clear_cluster (&cluster);
 }
 
 /* The instance that served the calls and reports usage is killed 300 ms after its first usage row
  * is stored. The other instance must report the stored counts. No window may be reported twice with
  * different counts. */
-Test (duties, usage_survives_a_killed_instance)
+Test (duties, stored_usage_is_reported_after_its_instance_is_killed)
 {
   PsCluster cluster;
 
   start_cluster_with_usage_reports (&cluster);
   PS_WAIT_UNTIL (&cluster, find_usage_reporter (&cluster) < cluster.n_instances);
   size_t killed = find_usage_reporter (&cluster);
-  send_calls_with_key (&cluster, killed, "post-1", 4);
+  send_calls_with_api_key (&cluster, killed, "post-1", 4);
   PS_WAIT_UNTIL (&cluster, si_row_store_count_rows (&cluster.store, "usage") > 0);
   for (LbTime wait_end = lb_clock_monotonic () + 300 * LB_MSEC; lb_clock_monotonic () < wait_end;)
     ps_run_event_loop_once (&cluster);
   pt_process_signal (&cluster.instances[killed].process, SIGKILL);
-  send_calls_with_key (&cluster, 1 - killed, "mill-1", 2);
+  send_calls_with_api_key (&cluster, 1 - killed, "mill-1", 2);
   PS_WAIT_UNTIL (&cluster, is_reported_usage_equal (&cluster, 4, 2));
-  check_usage_reports_and_clear (&cluster);
+  check_usage_reports_and_clear_cluster (&cluster);
 }
 
 /* The platform applies usage reports but its responses are lost; later it rejects all calls with
  * 429. The instance must repeat each report unchanged until the platform acknowledges it. */
-Test (duties, reports_are_repeated_unchanged_until_acknowledged)
+Test (duties, usage_reports_are_repeated_unchanged_until_acknowledged)
 {
   PsCluster cluster;
 
   start_cluster_with_usage_reports (&cluster);
   cluster.control_plane.mode = SI_CONTROL_PLANE_LOSES_REPLY;
-  send_calls_with_key (&cluster, 0, "post-1", 3);
+  send_calls_with_api_key (&cluster, 0, "post-1", 3);
   int calls_before = cluster.control_plane.calls;
   PS_WAIT_UNTIL (&cluster, cluster.control_plane.calls >= calls_before + 4);
   cluster.control_plane.mode = SI_CONTROL_PLANE_BUSY;
   calls_before = cluster.control_plane.calls;
   PS_WAIT_UNTIL (&cluster, cluster.control_plane.calls >= calls_before + 4);
   cluster.control_plane.mode = SI_CONTROL_PLANE_NORMAL;
-  send_calls_with_key (&cluster, 1, "post-1", 1);
+  send_calls_with_api_key (&cluster, 1, "post-1", 1);
   PS_WAIT_UNTIL (&cluster, is_reported_usage_equal (&cluster, 4, 0));
-  check_usage_reports_and_clear (&cluster);
+  check_usage_reports_and_clear_cluster (&cluster);
 }
 
 /* The instance that reports usage gets SIGTERM. The other instance must take over the reports, and
@@ -152,11 +152,11 @@
   start_cluster_with_usage_reports (&cluster);
   PS_WAIT_UNTIL (&cluster, find_usage_reporter (&cluster) < cluster.n_instances);
   size_t stopped = find_usage_reporter (&cluster);
-  send_calls_with_key (&cluster, stopped, "post-1", 2);
+  send_calls_with_api_key (&cluster, stopped, "post-1", 2);
   pt_process_signal (&cluster.instances[stopped].process, SIGTERM);
-  send_calls_with_key (&cluster, stopped, "post-1", 1);
+  send_calls_with_api_key (&cluster, stopped, "post-1", 1);
   PS_WAIT_UNTIL (&cluster, cluster.instances[stopped].process.ended);
   PS_WAIT_UNTIL (&cluster, is_reported_usage_equal (&cluster, 3, 0));
   PS_WAIT_UNTIL (&cluster, find_usage_reporter (&cluster) == 1 - stopped);
-  check_usage_reports_and_clear (&cluster);
+  check_usage_reports_and_clear_cluster (&cluster);
 }
--- a/tests/process/test-endpoints.c
+++ b/tests/process/test-endpoints.c
@@ -26,8 +26,9 @@
 /* Sends calls to two engines, and start_leaving makes one of them leave. That engine must get no
  * call later than LEAVE_PROPAGATION_TIME, and no call may be lost or cancelled. */
 static void
-check_leaving_engine_under_load (PtCluster *cluster,
-                                 void (*start_leaving) (PtCluster *cluster, PtProgram *engine))
+check_leaving_engine_gets_no_new_calls (PtCluster *cluster,
+                                        void (*start_leaving) (PtCluster *cluster,
+                                                               PtProgram *engine))
 {
   static const char *const load_options[]
       = { "--rate",    "60", "--concurrency", "40", "--count",  "100000",
@@ -89,7 +90,7 @@
   PtCluster cluster;
 
   pt_cluster_init (&cluster);
-  check_leaving_engine_under_load (&cluster, make_engine_announce_leaving);
+  check_leaving_engine_gets_no_new_calls (&cluster, make_engine_announce_leaving);
   pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
@@ -101,7 +102,7 @@
   PtCluster cluster;
 
   pt_cluster_init (&cluster);
-  check_leaving_engine_under_load (&cluster, mark_engine_as_leaving);
+  check_leaving_engine_gets_no_new_calls (&cluster, mark_engine_as_leaving);
   pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
@@ -130,7 +131,7 @@
 /* An engine is killed while callers read streams from it. The streams must resume at another engine
  * without repeated or missing tokens. A caller whose stream cannot resume must get a typed error;
  * the error may be "not run" only if no engine started the call. */
-Test (crash, streams_resume_on_another_engine)
+Test (crash, streams_of_a_killed_engine_resume_on_another_engine)
 {
   static const char *const load_options[]
       = { "--concurrency", "8",  "--count",  "40", "--callers", "40",
--- a/tests/process/test-membership.c
+++ b/tests/process/test-membership.c
@@ -38,13 +38,13 @@
 }
 
 static bool
-is_instance_listed (PtCluster *cluster, void *user)
+is_instance_in_entry_addresses (PtCluster *cluster, void *user)
 {
   return find_instance_in_entry_addresses (cluster, user);
 }
 
 static bool
-is_instance_not_listed (PtCluster *cluster, void *user)
+is_instance_absent_from_entry_addresses (PtCluster *cluster, void *user)
 {
   EntryQuery *query = user;
 
@@ -79,15 +79,15 @@
     instances[i] = pt_start_instance (cluster, names[i], data_centres[i]);
   for (size_t i = 0; i < 3; i++)
     for (size_t j = 0; j < 3; j++)
-      pt_wait_until (cluster, "all instances list each other", is_instance_listed,
+      pt_wait_until (cluster, "all instances list each other", is_instance_in_entry_addresses,
                      &(EntryQuery){ instances[i], names[j], 0 });
 }
 
 static void
-wait_at_first_and_third_instance (PtCluster *cluster,
-                                  PtProgram **instances,
-                                  const char *description,
-                                  PtCondition condition)
+wait_for_condition_at_first_and_third_instance (PtCluster *cluster,
+                                                PtProgram **instances,
+                                                const char *description,
+                                                PtCondition condition)
 {
   for (size_t i = 0; i < 3; i += 2)
     pt_wait_until (cluster, description, condition, &(EntryQuery){ instances[i], "i2", 0 });
@@ -104,13 +104,14 @@
   start_three_instances (&cluster, instances);
   LbTime killed_at = lb_clock_monotonic ();
   pt_process_signal (&instances[1]->process, SIGKILL);
-  wait_at_first_and_third_instance (&cluster, instances, "the killed instance is not listed",
-                                    is_instance_not_listed);
+  wait_for_condition_at_first_and_third_instance (&cluster, instances,
+                                                  "the killed instance is not listed",
+                                                  is_instance_absent_from_entry_addresses);
   cr_log_info ("the other instances stopped listing i2 after %.2f s",
                (double)(lb_clock_monotonic () - killed_at) / LB_SEC);
   pt_restart_instance (&cluster, instances[1]);
-  wait_at_first_and_third_instance (&cluster, instances, "the replacement is listed",
-                                    is_instance_listed);
+  wait_for_condition_at_first_and_third_instance (&cluster, instances, "the replacement is listed",
+                                                  is_instance_in_entry_addresses);
   pt_cluster_clear (&cluster);
 }
 
@@ -125,16 +126,19 @@
   start_three_instances (&cluster, instances);
   LbTime stopped_at = lb_clock_monotonic ();
   pt_process_signal (&instances[1]->process, SIGSTOP);
-  wait_at_first_and_third_instance (&cluster, instances, "the stopped instance is not listed",
-                                    is_instance_not_listed);
+  wait_for_condition_at_first_and_third_instance (&cluster, instances,
+                                                  "the stopped instance is not listed",
+                                                  is_instance_absent_from_entry_addresses);
   cr_log_info ("the other instances stopped listing i2 after %.2f s",
                (double)(lb_clock_monotonic () - stopped_at) / LB_SEC);
   si_client_pause (&cluster.client, 5 * LB_SEC);
   pt_process_signal (&instances[1]->process, SIGCONT);
-  wait_at_first_and_third_instance (&cluster, instances, "the continued instance is listed",
-                                    is_instance_listed);
+  wait_for_condition_at_first_and_third_instance (&cluster, instances,
+                                                  "the continued instance is listed",
+                                                  is_instance_in_entry_addresses);
   for (size_t i = 0; i < 3; i += 2)
-    pt_wait_until (&cluster, "the continued instance lists the others", is_instance_listed,
+    pt_wait_until (&cluster, "the continued instance lists the others",
+                   is_instance_in_entry_addresses,
                    &(EntryQuery){ instances[1], instances[i]->name, 0 });
   cr_assert_geq (read_metric_counter (&cluster, instances[1], "lentilspindle_own_pauses_total"), 1);
   cr_assert_eq (read_metric_counter (&cluster, instances[1],
@@ -154,8 +158,9 @@
 
   start_three_instances (&cluster, instances);
   pt_process_signal (&instances[1]->process, SIGTERM);
-  wait_at_first_and_third_instance (&cluster, instances, "the draining instance is not listed",
-                                    is_instance_not_listed);
+  wait_for_condition_at_first_and_third_instance (&cluster, instances,
+                                                  "the draining instance is not listed",
+                                                  is_instance_absent_from_entry_addresses);
   EntryQuery own_query = { instances[1], "i2", 0 };
   if (!instances[1]->process.ended)
     cr_assert_not (find_instance_in_entry_addresses (&cluster, &own_query));
--- a/tests/process/test-once.c
+++ b/tests/process/test-once.c
@@ -30,7 +30,7 @@
 }
 
 static void
-start_cluster (PtCluster *cluster)
+start_three_instances_and_two_services (PtCluster *cluster)
 {
   static const char *const slow_options[] = { "--latency-ms", "700", NULL };
 
@@ -87,7 +87,7 @@
  * call to the other instances. Each must report the outcome as unknown, and the call must run only
  * once. */
 static void
-check_no_rerun_after_kill (PtCluster *cluster, SiCheckedCallSpec *spec)
+check_call_is_not_rerun_after_kill (PtCluster *cluster, SiCheckedCallSpec *spec)
 {
   PendingCall pending_call = { .is_done = false };
 
@@ -115,11 +115,11 @@
 {
   PtCluster cluster;
 
-  start_cluster (&cluster);
+  start_three_instances_and_two_services (&cluster);
   char *ticket = create_ticket (&cluster, &cluster.instances[0]);
   SiCheckedCallSpec spec = make_order_call_spec (&cluster.instances[0], "order-1");
   spec.ticket = ticket;
-  check_no_rerun_after_kill (&cluster, &spec);
+  check_call_is_not_rerun_after_kill (&cluster, &spec);
   free (ticket);
   pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
@@ -131,10 +131,10 @@
 {
   PtCluster cluster;
 
-  start_cluster (&cluster);
+  start_three_instances_and_two_services (&cluster);
   SiCheckedCallSpec spec = make_order_call_spec (&cluster.instances[0], "order-2");
   spec.idempotency_key = "key-2";
-  check_no_rerun_after_kill (&cluster, &spec);
+  check_call_is_not_rerun_after_kill (&cluster, &spec);
   pt_drain_instances_and_wait_for_exit (&cluster);
   pt_cluster_clear (&cluster);
 }
@@ -146,7 +146,7 @@
   PtCluster cluster;
   PendingCall first = { .is_done = false };
 
-  start_cluster (&cluster);
+  start_three_instances_and_two_services (&cluster);
   char *ticket = create_ticket (&cluster, &cluster.instances[0]);
   SiCheckedCallSpec spec = make_order_call_spec (&cluster.instances[0], "order-3");
   spec.ticket = ticket;
--- a/tests/process/test-operator.c
+++ b/tests/process/test-operator.c
@@ -113,29 +113,29 @@
   write_file_in_test_folder (
       "pool.json", "{ /* a pool */ \"resources\": [{\"kind\": \"pool\", \"name\": \"p\"}]}");
   cr_assert_eq (run_operator_command ("diff -f @pool.json"), 1,
-                "unexpected exit code; standard error: %s", stderr_text);
+                "expected exit code 1; standard error: %s", stderr_text);
   assert_text_contains (stdout_text, "+ pool/p");
   cr_assert_eq (run_operator_command ("apply --dry-run -f @pool.json"), 0,
-                "unexpected exit code; standard error: %s", stderr_text);
+                "expected exit code 0; standard error: %s", stderr_text);
   cr_assert_eq (run_operator_command ("get pool p"), 1);
   assert_text_contains (stderr_text, "unknown_resource");
   cr_assert_eq (run_operator_command ("apply -f @pool.json --wait 30"), 0,
-                "unexpected exit code; standard error: %s", stderr_text);
+                "expected exit code 0; standard error: %s", stderr_text);
   assert_text_contains (stdout_text, "accepted as revision 1");
   cr_assert_eq (run_operator_command ("diff -f @pool.json"), 0,
-                "unexpected exit code; standard error: %s", stderr_text);
+                "expected exit code 0; standard error: %s", stderr_text);
   cr_assert_eq (run_operator_command ("get -o json pool p"), 0,
-                "unexpected exit code; standard error: %s", stderr_text);
+                "expected exit code 0; standard error: %s", stderr_text);
   assert_text_contains (stdout_text, "\"queue_limit\": 4096");
   cr_assert_eq (run_operator_command ("delete pool p"), 0,
-                "unexpected exit code; standard error: %s", stderr_text);
-  cr_assert_eq (run_operator_command ("history"), 0, "unexpected exit code; standard error: %s",
+                "expected exit code 0; standard error: %s", stderr_text);
+  cr_assert_eq (run_operator_command ("history"), 0, "expected exit code 0; standard error: %s",
                 stderr_text);
   assert_text_contains (stdout_text, "\"delete\"");
   cr_assert_eq (run_operator_command ("watch --once"), 0,
-                "unexpected exit code; standard error: %s", stderr_text);
+                "expected exit code 0; standard error: %s", stderr_text);
   assert_text_contains (stdout_text, "revision 2 in force on 1 of 1");
-  cr_assert_eq (run_operator_command ("status"), 0, "unexpected exit code; standard error: %s",
+  cr_assert_eq (run_operator_command ("status"), 0, "expected exit code 0; standard error: %s",
                 stderr_text);
   assert_text_contains (stdout_text, "name=i1 revision=2");
 }
@@ -148,12 +148,12 @@
   write_file_in_test_folder ("pool.json",
                              "{\"resources\": [{\"kind\": \"pool\", \"name\": \"p\"}]}");
   cr_assert_eq (run_operator_command ("apply -f @pool.json"), 0,
-                "unexpected exit code; standard error: %s", stderr_text);
+                "expected exit code 0; standard error: %s", stderr_text);
   cr_assert_eq (run_operator_command ("apply -f @pool.json --revision 0"), 1);
   assert_text_contains (stderr_text, "conflict");
   assert_text_contains (stderr_text, "revision 1 is accepted now");
   cr_assert_eq (run_operator_command ("apply -f @pool.json --force"), 0,
-                "unexpected exit code; standard error: %s", stderr_text);
+                "expected exit code 0; standard error: %s", stderr_text);
 }
 
 Test (operator, errors_have_a_location_and_an_exit_code)
--- a/tests/process/test-organisations.c
+++ b/tests/process/test-organisations.c
@@ -40,7 +40,7 @@
 }
 
 static int
-call_and_get_status (
+send_call_and_get_status (
     PsCluster *cluster, size_t instance, const char *method, const char *path, const char *id)
 {
   ps_call_and_wait (cluster, instance, method, path, id, "");
@@ -55,14 +55,14 @@
   size_t instance = start_cluster_with_two_organisations (&cluster);
 
   cluster.claimed_organisation = "mill";
-  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c1"), 200);
+  cr_assert_eq (send_call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c1"), 200);
   cr_assert_str_eq (cluster.lookup.organisation, "post");
   cluster.api_key = "mill-1";
   cluster.claimed_organisation = "post";
-  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c2"), 200);
+  cr_assert_eq (send_call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c2"), 200);
   cr_assert_str_eq (cluster.lookup.organisation, "mill");
   cluster.api_key = NULL;
-  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/s", "c3"), 200,
+  cr_assert_eq (send_call_and_get_status (&cluster, instance, "POST", "/lookup/s", "c3"), 200,
                 "expected status 200 without a key on a public route");
   cr_assert_str_eq (cluster.lookup.organisation, "", "expected no organisation on a public route");
   cr_assert_eq (cluster.lookup.leaked_keys, 0);
@@ -78,16 +78,16 @@
   int calls = cluster.lookup.n_calls;
 
   cluster.api_key = NULL;
-  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c1"), 401);
+  cr_assert_eq (send_call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c1"), 401);
   cluster.api_key = "";
-  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c2"), 401);
+  cr_assert_eq (send_call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c2"), 401);
   cluster.api_key = "post-3";
-  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c3"), 401);
-  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/nowhere/", "c4"), 404,
+  cr_assert_eq (send_call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c3"), 401);
+  cr_assert_eq (send_call_and_get_status (&cluster, instance, "POST", "/nowhere/", "c4"), 404,
                 "expected status 404 for an unknown route, also without a valid key");
   cluster.api_key = "post-1";
   cluster.second_api_key = "mill-1";
-  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c5"), 400);
+  cr_assert_eq (send_call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c5"), 400);
   cr_assert_eq (cluster.lookup.n_calls, calls);
   ps_cluster_clear (&cluster);
 }
@@ -99,12 +99,12 @@
   PsCluster cluster;
   size_t instance = start_cluster_with_two_organisations (&cluster);
 
-  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c1"), 200);
+  cr_assert_eq (send_call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c1"), 200);
   revoke_api_key_post_1 (&cluster);
   PS_WAIT_UNTIL (&cluster,
-                 call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c2") == 401);
+                 send_call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c2") == 401);
   cluster.api_key = "post-2";
-  cr_assert_eq (call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c3"), 200);
+  cr_assert_eq (send_call_and_get_status (&cluster, instance, "POST", "/lookup/1", "c3"), 200);
   ps_cluster_clear (&cluster);
 }
 
@@ -139,13 +139,13 @@
 }
 
 static int
-read_with_key_and_get_status (PsCluster *cluster,
-                              size_t instance,
-                              const char *key,
-                              const char *path)
+send_get_with_api_key_and_get_status (PsCluster *cluster,
+                                      size_t instance,
+                                      const char *key,
+                                      const char *path)
 {
   cluster->api_key = key;
-  return call_and_get_status (cluster, instance, "GET", path, "");
+  return send_call_and_get_status (cluster, instance, "GET", path, "");
 }
 
 /* Only the organisation that submitted a batch can access it, with any of its API keys. For another
@@ -157,26 +157,31 @@
 
   ps_submit_batch (&cluster, instance, "b1", 4);
   cr_assert_eq (cluster.response_status, 202);
-  cr_assert_eq (read_with_key_and_get_status (&cluster, instance, "mill-1", "/-/lots/b1?after=0"),
+  cr_assert_eq (send_get_with_api_key_and_get_status (&cluster, instance, "mill-1",
+                                                      "/-/lots/b1?after=0"),
                 404);
-  cr_assert_eq (read_with_key_and_get_status (&cluster, instance, "mill-1", "/-/items/b1?id=item1"),
+  cr_assert_eq (send_get_with_api_key_and_get_status (&cluster, instance, "mill-1",
+                                                      "/-/items/b1?id=item1"),
                 404);
-  cr_assert_eq (read_with_key_and_get_status (&cluster, instance, "mill-1",
-                                              "/-/lots/unknown?after=0"),
+  cr_assert_eq (send_get_with_api_key_and_get_status (&cluster, instance, "mill-1",
+                                                      "/-/lots/unknown?after=0"),
                 404);
-  cr_assert_eq (read_with_key_and_get_status (&cluster, instance, "nobody", "/-/lots/b1?after=0"),
+  cr_assert_eq (send_get_with_api_key_and_get_status (&cluster, instance, "nobody",
+                                                      "/-/lots/b1?after=0"),
                 401);
-  cr_assert_eq (read_with_key_and_get_status (&cluster, instance, NULL, "/-/lots/unknown?after=0"),
+  cr_assert_eq (send_get_with_api_key_and_get_status (&cluster, instance, NULL,
+                                                      "/-/lots/unknown?after=0"),
                 401);
-  cr_assert_eq (read_with_key_and_get_status (&cluster, instance, "post-2", "/-/items/b1?id=item1"),
+  cr_assert_eq (send_get_with_api_key_and_get_status (&cluster, instance, "post-2",
+                                                      "/-/items/b1?id=item1"),
                 200);
   PS_WAIT_UNTIL (&cluster, ps_count_results_on_first_page (&cluster, instance, "b1") == 4);
   ps_assert_each_item_has_one_result (&cluster, instance, "b1", 4);
   cluster.api_key = "mill-1";
-  cr_assert_eq (call_and_get_status (&cluster, instance, "DELETE", "/-/lots/b1", ""), 404);
+  cr_assert_eq (send_call_and_get_status (&cluster, instance, "DELETE", "/-/lots/b1", ""), 404);
   cluster.api_key = "post-2";
-  cr_assert_eq (call_and_get_status (&cluster, instance, "DELETE", "/-/lots/b1", ""), 200);
-  cr_assert_eq (call_and_get_status (&cluster, instance, "DELETE", "/-/lots/b1", ""), 200);
+  cr_assert_eq (send_call_and_get_status (&cluster, instance, "DELETE", "/-/lots/b1", ""), 200);
+  cr_assert_eq (send_call_and_get_status (&cluster, instance, "DELETE", "/-/lots/b1", ""), 200);
   for (int i = 0; i < PS_N_ENGINES; i++)
     {
       cr_assert_eq (cluster.engines[i].leaked_keys, 0);
@@ -233,7 +238,8 @@
   for (int i = 0; i < PS_N_ENGINES; i++)
     n_identified += strcmp (cluster.engines[i].organisation, "post") == 0;
   cr_assert_gt (n_identified, 0);
-  cr_assert_eq (read_with_key_and_get_status (&cluster, survivor, "post-1", "/-/lots/b1?after=0"),
+  cr_assert_eq (send_get_with_api_key_and_get_status (&cluster, survivor, "post-1",
+                                                      "/-/lots/b1?after=0"),
                 401);
   ps_cluster_clear (&cluster);
 }
--- a/tests/process/test-rolling.c
+++ b/tests/process/test-rolling.c
@@ -6,7 +6,7 @@
 #define N_CALLS "450" /* calls that the load generator makes */
 
 static bool
-have_engines_finished_calls (PtCluster *cluster, void *user)
+have_engines_finished_min_calls (PtCluster *cluster, void *user)
 {
   const int64_t *min_finished = user;
 
@@ -58,7 +58,7 @@
     {
       int64_t min_finished = 30 * (int64_t)(i + 1);
       pt_wait_until (&cluster, "the engines have finished enough calls for the next restart",
-                     have_engines_finished_calls, &min_finished);
+                     have_engines_finished_min_calls, &min_finished);
       pt_process_signal (&cluster.instances[i].process, SIGTERM);
       pt_wait_for_exit_with_code (&cluster, &cluster.instances[i].process, 0);
       pt_restart_instance (&cluster, &cluster.instances[i]);
--- a/tests/process/test-shared.c
+++ b/tests/process/test-shared.c
@@ -12,7 +12,7 @@
 #include <string.h>
 #include <unistd.h>
 
-Test (shared, step_and_call_complete_end_to_end)
+Test (shared, call_and_batch_complete_at_a_single_instance)
 {
   PsCluster cluster;
 
@@ -132,10 +132,10 @@
   return read_endpoint_list_call_count (cluster, instance) <= list_calls_before;
 }
 
-/* Checks every instance, because the instance that sends weight orders lists the endpoints itself.
- */
+/* Returns whether any instance uses the catalog only. The instance that sends weight orders does
+ * not: it lists the endpoints itself. */
 static bool
-has_instance_using_catalog_only (PsCluster *cluster)
+is_any_instance_using_catalog_only (PsCluster *cluster)
 {
   bool is_found = false;
 
@@ -190,7 +190,7 @@
     ps_start_instance (&cluster);
   PS_WAIT_UNTIL (&cluster,
                  (publisher = find_catalog_publisher (&cluster, 3)) < cluster.n_instances);
-  PS_WAIT_UNTIL (&cluster, has_instance_using_catalog_only (&cluster));
+  PS_WAIT_UNTIL (&cluster, is_any_instance_using_catalog_only (&cluster));
   PS_WAIT_UNTIL (&cluster, has_decision_from_published_list (&cluster, publisher));
   put_endpoint_row (&cluster, 7, "draining");
   for (size_t i = 0; i < 3; i++)
@@ -481,10 +481,10 @@
   ps_cluster_clear (&cluster);
 }
 
-/* Returns whether the result at this position is listed. If so, asserts that it is complete and
- * longer than `length`. */
+/* Returns whether batch b1 has a result at this position. If so, asserts that the result is
+ * completed and that its text is longer than `length`. */
 static bool
-is_long_result_listed (PsCluster *cluster, size_t instance, int position, size_t length)
+is_result_listed_and_longer_than (PsCluster *cluster, size_t instance, int position, size_t length)
 {
   char path[64];
 
@@ -518,8 +518,9 @@
   ps_start_instance (&cluster);
   ps_submit_batch (&cluster, 0, "b1", 4);
   for (int i = 0; i < 4; i++)
-    PS_WAIT_UNTIL (&cluster, is_long_result_listed (&cluster, (size_t)i % 2, i,
-                                                    (size_t)cluster.engines[0].n_events * 40000));
+    PS_WAIT_UNTIL (&cluster,
+                   is_result_listed_and_longer_than (&cluster, (size_t)i % 2, i,
+                                                     (size_t)cluster.engines[0].n_events * 40000));
   ps_call_and_wait (&cluster, 0, "DELETE", "/-/lots/b1", "", "");
   PS_WAIT_UNTIL (&cluster, si_row_store_count_rows (&cluster.store, "head") == 0);
   cr_assert_eq (si_row_store_count_rows (&cluster.store, "result")
@@ -554,7 +555,7 @@
  * instance. A watch of the store delivers the row before the retry is answered. The instance
  * must check the row again after that answer; otherwise the batch is accepted, but none of its
  * items starts. */
-Test (shared, batch_row_seen_before_the_write_response_is_run)
+Test (shared, batch_runs_if_its_row_is_seen_before_the_write_response)
 {
   PsCluster cluster;
   size_t owner;
@@ -702,7 +703,7 @@
 
 /* The trainer deletes a batch while its items run. The engines must stop working on them within
  * about a second, and no item may start again. */
-Test (shared, ended_batch_is_cancelled_at_the_engines)
+Test (shared, deleted_batch_is_cancelled_at_the_engines)
 {
   PsCluster cluster;
 
--- a/tests/process/test-silence.c
+++ b/tests/process/test-silence.c
@@ -34,12 +34,12 @@
 {
   PtProgram *endpoint;
   const char *key;
-} RunQuery;
+} CallRunQuery;
 
 static bool
 has_endpoint_started_call (PtCluster *cluster, void *user)
 {
-  RunQuery *run_query = user;
+  CallRunQuery *run_query = user;
 
   return pt_count_call_runs (cluster, run_query->endpoint, run_query->key) > 0;
 }
@@ -53,10 +53,12 @@
 } Fixture;
 
 static void
-fixture_init (Fixture *fixture,
-              PtProgram *(*start_endpoint) (PtCluster *, const char *, const char *const *),
-              const char *name,
-              const char *const *options)
+fixture_start_with_relayed_endpoint (Fixture *fixture,
+                                     PtProgram *(*start_endpoint) (PtCluster *,
+                                                                   const char *,
+                                                                   const char *const *),
+                                     const char *name,
+                                     const char *const *options)
 {
   LbName direct_address;
 
@@ -90,7 +92,7 @@
   Fixture fixture;
   PendingCall pending_call = { .is_done = false };
 
-  fixture_init (&fixture, pt_start_engine, "engine-1", slow_options);
+  fixture_start_with_relayed_endpoint (&fixture, pt_start_engine, "engine-1", slow_options);
   SiCheckedCallSpec spec = { .address = fixture.instance->address,
                              .model = "reader",
                              .prompt = "a reply",
@@ -98,7 +100,7 @@
                              .stream = true };
   cr_assert_eq (pt_run_checked_call (&fixture.cluster, &spec).outcome, SI_CALL_COMPLETE);
   spec.prompt = "another reply";
-  RunQuery run_query = { fixture.endpoint, spec.prompt };
+  CallRunQuery run_query = { fixture.endpoint, spec.prompt };
   si_checked_call_start (fixture.cluster.client.pool, &spec, on_call_done, &pending_call);
   pt_wait_until (&fixture.cluster, "the engine has started the call", has_endpoint_started_call,
                  &run_query);
@@ -126,7 +128,7 @@
   Fixture fixture;
   PendingCall pending_call = { .is_done = false };
 
-  fixture_init (&fixture, pt_start_service, "lookup-1", slow_options);
+  fixture_start_with_relayed_endpoint (&fixture, pt_start_service, "lookup-1", slow_options);
   SiCheckedCallSpec spec = { .kind = SI_CHECKED_CALL_SERVICE,
                              .address = fixture.instance->address,
                              .model = "/services/lookup/order",
@@ -134,7 +136,7 @@
                              .order = "order-7",
                              .deadline_ms = "2000",
                              .idle_timeout = PT_WAIT_TIMEOUT };
-  RunQuery run_query = { fixture.endpoint, "order-7" };
+  CallRunQuery run_query = { fixture.endpoint, "order-7" };
   si_checked_call_start (fixture.cluster.client.pool, &spec, on_call_done, &pending_call);
   pt_wait_until (&fixture.cluster, "the service has started the call", has_endpoint_started_call,
                  &run_query);
--- a/tests/process/test-steps.c
+++ b/tests/process/test-steps.c
@@ -21,7 +21,7 @@
 } Fixture;
 
 static void
-start_cluster (Fixture *fixture)
+start_instances_and_engines (Fixture *fixture)
 {
   PtCluster *cluster = &fixture->cluster;
 
@@ -39,28 +39,34 @@
 }
 
 static void
-start_trainer (Fixture *fixture, const char *silence_ms)
+start_trainer (Fixture *fixture, const char *trainer_idle_timeout_ms)
 {
-  const char *const options[]
-      = { "--groups",  "6", "--samples", "4", "--max-tokens", "250",      "--version",     "41",
-          "--max-lag", "2", "--chunk",   "4", "--silence-ms", silence_ms, "--vary-length", NULL };
+  const char *const options[] = { "--groups",      "6",
+                                  "--samples",     "4",
+                                  "--max-tokens",  "250",
+                                  "--version",     "41",
+                                  "--max-lag",     "2",
+                                  "--chunk",       "4",
+                                  "--silence-ms",  trainer_idle_timeout_ms,
+                                  "--vary-length", NULL };
 
   pt_start_trainer (&fixture->cluster, &fixture->trainer, options);
 }
 
 static void
-fixture_init (Fixture *fixture, const char *silence_ms)
+fixture_start_cluster_and_trainer (Fixture *fixture, const char *trainer_idle_timeout_ms)
 {
-  start_cluster (fixture);
-  start_trainer (fixture, silence_ms);
+  start_instances_and_engines (fixture);
+  start_trainer (fixture, trainer_idle_timeout_ms);
 }
 
 static void
-fixture_init_during_store_outage (Fixture *fixture, const char *silence_ms)
+fixture_start_cluster_and_trainer_in_store_outage (Fixture *fixture,
+                                                   const char *trainer_idle_timeout_ms)
 {
-  start_cluster (fixture);
+  start_instances_and_engines (fixture);
   pt_inject_fault (&fixture->cluster, &fixture->cluster.platform, "{\"mode\": \"down\"}");
-  start_trainer (fixture, silence_ms);
+  start_trainer (fixture, trainer_idle_timeout_ms);
 }
 
 static void
@@ -128,7 +134,7 @@
 {
   Fixture fixture;
 
-  fixture_init (&fixture, "3000");
+  fixture_start_cluster_and_trainer (&fixture, "3000");
   pt_wait_until (&fixture.cluster, "a quarter of the samples is finished",
                  is_quarter_of_samples_finished, NULL);
   PtProgram *owner = find_step_owner (&fixture.cluster);
@@ -150,7 +156,7 @@
 {
   Fixture fixture;
 
-  fixture_init (&fixture, "1200");
+  fixture_start_cluster_and_trainer (&fixture, "1200");
   pt_wait_until (&fixture.cluster, "a quarter of the samples is finished",
                  is_quarter_of_samples_finished, NULL);
   PtProgram *owner = find_step_owner (&fixture.cluster);
@@ -172,7 +178,7 @@
                                                    "--samples",     "4", "--version", "41",
                                                    "--vary-length", NULL };
 
-  fixture_init (&fixture, "3000");
+  fixture_start_cluster_and_trainer (&fixture, "3000");
   pt_wait_until (&fixture.cluster, "a quarter of the samples is finished",
                  is_quarter_of_samples_finished, NULL);
   pt_inject_fault (&fixture.cluster, &fixture.cluster.platform, "{\"mode\": \"down\"}");
@@ -198,7 +204,7 @@
 {
   Fixture fixture;
 
-  fixture_init_during_store_outage (&fixture, "3000");
+  fixture_start_cluster_and_trainer_in_store_outage (&fixture, "3000");
   pt_wait_until (&fixture.cluster, "half of the samples are finished", is_half_of_samples_finished,
                  NULL);
   pt_process_signal (&fixture.cluster.instances[0].process, SIGKILL);
--- a/tests/process/test-tickets.c
+++ b/tests/process/test-tickets.c
@@ -37,7 +37,7 @@
 
 /* Starts two instances, which list each other as entry addresses, and one service. */
 static void
-fixture_init (Fixture *fixture)
+fixture_start_two_instances_and_service (Fixture *fixture)
 {
   static const char *const options[] = { "--latency-ms", "50", NULL };
 
@@ -85,11 +85,11 @@
 }
 
 static void
-send_order (Fixture *fixture,
-            PtProgram *instance,
-            const char *header,
-            const char *value,
-            SiResponse *response)
+send_order_with_header (Fixture *fixture,
+                        PtProgram *instance,
+                        const char *header,
+                        const char *value,
+                        SiResponse *response)
 {
   const LhHeader headers[] = { { "x-caller", "shop" }, { "x-order", "tea" }, { header, value } };
   const SiCall call = { .method = "POST",
@@ -111,20 +111,20 @@
   SiResponse response;
   char ticket[256];
 
-  fixture_init (&fixture);
+  fixture_start_two_instances_and_service (&fixture);
   create_ticket (&fixture, fixture.first, ticket);
-  send_order (&fixture, fixture.second, "x-ticket", ticket, &response);
+  send_order_with_header (&fixture, fixture.second, "x-ticket", ticket, &response);
   cr_assert (si_response_is_ok (&response), "expected a success, got error %s",
              si_response_get_error_type (&response));
   si_response_clear (&response);
-  send_order (&fixture, fixture.first, "x-ticket", ticket, &response);
+  send_order_with_header (&fixture, fixture.first, "x-ticket", ticket, &response);
   cr_assert (si_response_is_ok (&response), "expected a success, got error %s",
              si_response_get_error_type (&response));
   si_response_clear (&response);
   cr_assert_eq (pt_count_call_runs (&fixture.cluster, fixture.service, "tea"), 1);
 
   pt_process_signal (&fixture.first->process, SIGKILL);
-  send_order (&fixture, fixture.second, "x-ticket", ticket, &response);
+  send_order_with_header (&fixture, fixture.second, "x-ticket", ticket, &response);
   cr_assert_str_eq (si_response_get_error_type (&response), "outcome_unknown");
   cr_assert_not (response.not_run);
   si_response_clear (&response);
@@ -138,15 +138,15 @@
   PtProgram *instance;
 } OrderRetry;
 
-/* Retries the order with idempotency key "k1" and returns whether it completed. */
+/* Sends the order with idempotency key "k1" again and returns whether it completed. */
 static bool
-is_order_completed (PtCluster *cluster, void *user)
+is_retried_order_completed (PtCluster *cluster, void *user)
 {
   (void)cluster;
   const OrderRetry *retry = user;
   SiResponse response;
 
-  send_order (retry->fixture, retry->instance, "idempotency-key", "k1", &response);
+  send_order_with_header (retry->fixture, retry->instance, "idempotency-key", "k1", &response);
   bool ok = si_response_is_ok (&response);
   cr_assert (ok || response.not_run, "expected a success or not run, got error %s",
              si_response_get_error_type (&response));
@@ -162,10 +162,10 @@
   Fixture fixture;
   SiResponse response;
 
-  fixture_init (&fixture);
+  fixture_start_two_instances_and_service (&fixture);
   pt_inject_fault (&fixture.cluster, &fixture.cluster.platform,
                    "{\"mode\": \"lose_reply\", \"path\": \"/table/transact\"}");
-  send_order (&fixture, fixture.first, "idempotency-key", "k1", &response);
+  send_order_with_header (&fixture, fixture.first, "idempotency-key", "k1", &response);
   cr_assert (si_response_is_ok (&response) || response.not_run,
              "expected a success or not run, got error %s", si_response_get_error_type (&response));
   cr_assert_eq (pt_count_call_runs (&fixture.cluster, fixture.service, "tea"),
@@ -174,10 +174,10 @@
   pt_inject_fault (&fixture.cluster, &fixture.cluster.platform, "{\"mode\": \"none\"}");
   OrderRetry second = { .fixture = &fixture, .instance = fixture.second };
   OrderRetry first = { .fixture = &fixture, .instance = fixture.first };
-  pt_wait_until (&fixture.cluster, "the order completes at the second instance", is_order_completed,
-                 &second);
-  pt_wait_until (&fixture.cluster, "the order completes at the first instance", is_order_completed,
-                 &first);
+  pt_wait_until (&fixture.cluster, "the order completes at the second instance",
+                 is_retried_order_completed, &second);
+  pt_wait_until (&fixture.cluster, "the order completes at the first instance",
+                 is_retried_order_completed, &first);
   cr_assert_eq (pt_count_call_runs (&fixture.cluster, fixture.service, "tea"), 1);
   fixture_clear (&fixture);
 }
@@ -190,15 +190,15 @@
   SiResponse response;
   char ticket[256];
 
-  fixture_init (&fixture);
+  fixture_start_two_instances_and_service (&fixture);
   pt_inject_fault (&fixture.cluster, &fixture.cluster.platform, "{\"mode\": \"down\"}");
-  send_order (&fixture, fixture.first, "idempotency-key", "k1", &response);
+  send_order_with_header (&fixture, fixture.first, "idempotency-key", "k1", &response);
   cr_assert (response.not_run, "expected not run, got error %s",
              si_response_get_error_type (&response));
   si_response_clear (&response);
   cr_assert_eq (pt_count_call_runs (&fixture.cluster, fixture.service, "tea"), 0);
   create_ticket (&fixture, fixture.first, ticket);
-  send_order (&fixture, fixture.first, "x-ticket", ticket, &response);
+  send_order_with_header (&fixture, fixture.first, "x-ticket", ticket, &response);
   cr_assert (si_response_is_ok (&response), "expected a success, got error %s",
              si_response_get_error_type (&response));
   si_response_clear (&response);
