--- a/tests/soak/sk-callers.c
+++ b/tests/soak/sk-callers.c
@@ -215,7 +215,7 @@
 }
 
 static void
-start_call (SkCallers *callers, SkInstance *instance, CallKind kind, LbTime now)
+start_simulated_call (SkCallers *callers, SkInstance *instance, CallKind kind, LbTime now)
 {
   SkWorld *world = callers->world;
   Call *call = LB_NEW (Call);
@@ -255,13 +255,13 @@
 }
 
 static void
-start_route_probes (SkCallers *callers, LbTime now)
+start_route_probe_at_each_instance (SkCallers *callers, LbTime now)
 {
   SkWorld *world = callers->world;
 
   for (size_t i = 0; world->n_added_routes > 0 && i < world->n_instances; i++)
     if (sk_instance_is_running (&world->instances[i]) && !world->instances[i].stopping)
-      start_call (callers, &world->instances[i], CALL_ROUTE_PROBE, now);
+      start_simulated_call (callers, &world->instances[i], CALL_ROUTE_PROBE, now);
 }
 
 void
@@ -275,13 +275,13 @@
       && (instance = choose_random_instance_with_address (callers->world)))
     {
       callers->next_call_at = now + CALL_INTERVAL;
-      start_call (callers, instance,
-                  sk_random_int (callers->world, 0, 1) ? CALL_LOOKUP : CALL_ORDER, now);
+      start_simulated_call (callers, instance,
+                            sk_random_int (callers->world, 0, 1) ? CALL_LOOKUP : CALL_ORDER, now);
     }
   if (now < callers->next_probe_at)
     return;
   callers->next_probe_at = now + ROUTE_PROBE_INTERVAL;
-  start_route_probes (callers, now);
+  start_route_probe_at_each_instance (callers, now);
 }
 
 void
--- a/tests/soak/sk-crasher.c
+++ b/tests/soak/sk-crasher.c
@@ -34,7 +34,8 @@
   int64_t n_calls;
   LbTime next_call_at;
   int n_crashes;
-  LbTime quarantined_by; /* time by which all instances must quarantine; 0: too few crashes */
+  /* time by which all instances must refuse fatal requests; 0: too few crashes so far */
+  LbTime quarantined_by;
   int n_runs_after_quarantine;
   bool stopped;
 };
--- a/tests/soak/sk-one-shot.c
+++ b/tests/soak/sk-one-shot.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #define N_BATCH_ITEMS 3
-#define SUBMIT_INTERVAL (400 * LB_MSEC)
+#define BATCH_SUBMIT_INTERVAL (400 * LB_MSEC)
 #define BATCH_ID_PREFIX "once"
 /* Items of a batch may still start for this long after the deletion of the batch is acknowledged.
  */
@@ -69,7 +69,7 @@
   free (one_shot_trainers);
 }
 
-static void delete_batch_if_even (Batch *batch);
+static void delete_batch_if_number_is_even (Batch *batch);
 
 static bool
 is_not_run_status (int status)
@@ -90,7 +90,7 @@
   if (result->status == 202)
     {
       batch->state = BATCH_ACCEPTED;
-      delete_batch_if_even (batch);
+      delete_batch_if_number_is_even (batch);
     }
   else if (is_not_run_status (result->status))
     {
@@ -117,7 +117,7 @@
 
 /* Deletes an accepted batch if its number is even and the instance that accepted it runs. */
 static void
-delete_batch_if_even (Batch *batch)
+delete_batch_if_number_is_even (Batch *batch)
 {
   char path[48];
 
@@ -164,7 +164,7 @@
 
   if (one_shot_trainers->stopped || now < one_shot_trainers->next_submit_at)
     return;
-  one_shot_trainers->next_submit_at = now + SUBMIT_INTERVAL;
+  one_shot_trainers->next_submit_at = now + BATCH_SUBMIT_INTERVAL;
   instance = &world->instances[sk_random_int (world, 0, (int64_t)world->n_instances - 1)];
   if (sk_instance_is_running (instance))
     submit_batch (one_shot_trainers, instance);
--- a/tests/soak/sk-trainer.c
+++ b/tests/soak/sk-trainer.c
@@ -51,7 +51,7 @@
 };
 
 static void
-begin_step (SkTrainer *trainer, LbTime now)
+begin_trainer_step (SkTrainer *trainer, LbTime now)
 {
   for (int i = 0; i < N_BATCH_ITEMS; i++)
     {
@@ -73,7 +73,7 @@
   SkTrainer *trainer = LB_NEW (SkTrainer);
 
   trainer->world = world;
-  begin_step (trainer, lb_clock_monotonic ());
+  begin_trainer_step (trainer, lb_clock_monotonic ());
   return trainer;
 }
 
@@ -93,7 +93,10 @@
  * text must have all events in order, and the weight versions in the result must be exactly
  * those of its events. */
 static const char *
-find_text_fault (const char *item, struct json_object *result, int64_t min_version, int events)
+find_fault_in_result_text (const char *item,
+                           struct json_object *result,
+                           int64_t min_version,
+                           int events)
 {
   struct json_object *versions = lb_json_member (result, "versions");
   size_t n_versions
@@ -133,8 +136,8 @@
 check_completed_result (SkTrainer *trainer, const char *item, struct json_object *result)
 {
   char score[LB_NAME_MAX + 16];
-  const char *fault = find_text_fault (item, result, trainer->min_version,
-                                       trainer->world->endpoints[0].standin.n_events);
+  const char *fault = find_fault_in_result_text (item, result, trainer->min_version,
+                                                 trainer->world->endpoints[0].standin.n_events);
 
   snprintf (score, sizeof score, "stamp-score-%s", item);
   if (fault)
@@ -147,10 +150,10 @@
 }
 
 static void
-record_first_result (SkTrainer *trainer,
-                     int64_t position,
-                     const char *item,
-                     struct json_object *result)
+record_result_on_first_read (SkTrainer *trainer,
+                             int64_t position,
+                             const char *item,
+                             struct json_object *result)
 {
   Result *first = &trainer->results[position];
 
@@ -170,7 +173,7 @@
 }
 
 static void
-check_result_at_position (SkTrainer *trainer, int64_t position, struct json_object *result)
+check_result_is_new_or_unchanged (SkTrainer *trainer, int64_t position, struct json_object *result)
 {
   if (position < 0 || position >= N_BATCH_ITEMS)
     {
@@ -180,7 +183,7 @@
       return;
     }
   if (!trainer->results[position].json)
-    record_first_result (trainer, position, lb_json_text (result, "id", ""), result);
+    record_result_on_first_read (trainer, position, lb_json_text (result, "id", ""), result);
   else if (strcmp (trainer->results[position].json,
                    json_object_to_json_string_ext (result, JSON_C_TO_STRING_PLAIN))
            != 0)
@@ -205,8 +208,8 @@
                          "%s: expected the number of its items as total, got %lld", trainer->batch,
                          (long long)lb_json_int (page, "total", 0));
   for (int64_t i = 0; i < n; i++)
-    check_result_at_position (trainer, next_position - n + i,
-                              json_object_array_get_idx (results, (size_t)i));
+    check_result_is_new_or_unchanged (trainer, next_position - n + i,
+                                      json_object_array_get_idx (results, (size_t)i));
   if (next_position > trainer->n_read)
     trainer->n_read = next_position;
 }
@@ -269,7 +272,7 @@
 }
 
 static void
-start_reading_if_accepted (SkTrainer *trainer, const LhResult *result, LbTime now)
+start_reading_results_if_batch_accepted (SkTrainer *trainer, const LhResult *result, LbTime now)
 {
   if (result->failure != LB_OK || result->status != 202)
     return;
@@ -314,7 +317,7 @@
 }
 
 static void
-begin_next_step_if_deleted (SkTrainer *trainer, const LhResult *result, LbTime now)
+begin_next_step_if_batch_deleted (SkTrainer *trainer, const LhResult *result, LbTime now)
 {
   if (result->failure != LB_OK || result->status != 200)
     return;
@@ -323,7 +326,7 @@
   if (trainer->stopped)
     trainer->state = TRAINER_DONE;
   else
-    begin_step (trainer, now);
+    begin_trainer_step (trainer, now);
 }
 
 static void
@@ -339,10 +342,10 @@
   switch (trainer->state)
     {
     case TRAINER_SUBMITTING:
-      start_reading_if_accepted (trainer, result, now);
+      start_reading_results_if_batch_accepted (trainer, result, now);
       break;
     case TRAINER_DELETING:
-      begin_next_step_if_deleted (trainer, result, now);
+      begin_next_step_if_batch_deleted (trainer, result, now);
       break;
     case TRAINER_READING:
     case TRAINER_DONE:
@@ -352,11 +355,11 @@
 }
 
 static void
-start_call (SkTrainer *trainer,
-            SkInstance *instance,
-            const char *method,
-            const char *path,
-            const char *body)
+start_batch_api_call (SkTrainer *trainer,
+                      SkInstance *instance,
+                      const char *method,
+                      const char *path,
+                      const char *body)
 {
   trainer->called_instance = instance;
   trainer->called_process_start = instance->n_process_starts;
@@ -376,21 +379,21 @@
 /* Requests the results from the first unread position on; when rereading, and at random in one
  * of five calls, from position 0 on. */
 static void
-request_results (SkTrainer *trainer, SkInstance *instance)
+request_batch_results (SkTrainer *trainer, SkInstance *instance)
 {
   int64_t from
       = trainer->is_rereading || sk_random_int (trainer->world, 0, 4) == 0 ? 0 : trainer->n_read;
   char path[LB_NAME_MAX + 48];
 
   snprintf (path, sizeof path, "/-/lots/%s?after=%lld", trainer->batch, (long long)from);
-  start_call (trainer, instance, "GET", path, "");
+  start_batch_api_call (trainer, instance, "GET", path, "");
 }
 
 void
 sk_trainer_reread_results (SkTrainer *trainer, SkInstance *instance)
 {
   trainer->is_rereading = true;
-  request_results (trainer, instance);
+  request_batch_results (trainer, instance);
 }
 
 bool
@@ -400,7 +403,7 @@
 }
 
 static void
-start_next_call (SkTrainer *trainer, SkInstance *instance)
+start_call_for_trainer_state (SkTrainer *trainer, SkInstance *instance)
 {
   char path[LB_NAME_MAX + 16];
   char *body = NULL;
@@ -409,15 +412,15 @@
     {
     case TRAINER_SUBMITTING:
       body = format_batch_json (trainer);
-      start_call (trainer, instance, "POST", "/steps/1", body);
+      start_batch_api_call (trainer, instance, "POST", "/steps/1", body);
       free (body);
       break;
     case TRAINER_READING:
-      request_results (trainer, instance);
+      request_batch_results (trainer, instance);
       break;
     case TRAINER_DELETING:
       snprintf (path, sizeof path, "/-/lots/%s", trainer->batch);
-      start_call (trainer, instance, "DELETE", path, "");
+      start_batch_api_call (trainer, instance, "DELETE", path, "");
       break;
     case TRAINER_DONE:
       break;
@@ -441,7 +444,7 @@
     }
   instance = choose_random_instance_accepting_calls (trainer->world);
   if (instance)
-    start_next_call (trainer, instance);
+    start_call_for_trainer_state (trainer, instance);
 }
 
 void
--- a/tests/soak/sk-world.c
+++ b/tests/soak/sk-world.c
@@ -476,7 +476,8 @@
 /* Checks that two lease holders never use the same fencing token, since engines would accept
  * orders of both. */
 static void
-on_load_order (SiEndpoint *standin, const char *holder, int64_t fence, bool accepted, void *user)
+on_weights_load_order (
+    SiEndpoint *standin, const char *holder, int64_t fence, bool accepted, void *user)
 {
   static LbName holder_by_fence[1000];
   static uint64_t holders_seed;
@@ -515,7 +516,7 @@
 static const SiEndpointListener listener = { .on_call = on_service_call,
                                              .on_stream = on_engine_stream,
                                              .on_fatal_request = on_fatal_request,
-                                             .on_order = on_load_order };
+                                             .on_order = on_weights_load_order };
 
 static SkEndpoint *
 add_endpoint (SkWorld *world, const char *name, const char *service, const char *model)
@@ -734,7 +735,7 @@
 /* Checks that usage reports of the same time window are equal. A window may be reported more than
  * once, also by different lease holders. */
 static void
-check_usage_reports (SkWorld *world)
+check_usage_reports_of_same_window_are_equal (SkWorld *world)
 {
   if (world->control_plane.conflicting_reports > 0)
     sk_report_violation (
@@ -755,7 +756,7 @@
     restart_resume_or_heal_instance_if_due (&world->instances[i], now);
   for (size_t i = 0; i < world->n_endpoints; i++)
     heal_exit_or_restart_endpoint_if_due (&world->endpoints[i], now);
-  check_usage_reports (world);
+  check_usage_reports_of_same_window_are_equal (world);
   if (world->store_heal_at != LB_TIME_NEVER)
     world->store_last_disturbed_at = now;
   if (now >= world->store_heal_at)
--- a/tests/soak/sk-world.h
+++ b/tests/soak/sk-world.h
@@ -36,14 +36,15 @@
   LbName address; /* address for callers; empty until it is read from the address file */
   LbName metrics_address;
   int n_process_starts;
-  bool paused;                 /* SIGSTOP was sent */
-  bool stopping;               /* SIGTERM was sent */
-  LbTime restart_at;           /* time of the next restart; LB_TIME_NEVER: none */
-  LbTime resume_at;            /* end of the pause; LB_TIME_NEVER: not paused */
-  LbTime heal_at;              /* end of the store relay's fault; LB_TIME_NEVER: no fault */
-  LbTime sigterm_at;           /* time when SIGTERM was sent */
-  LbTime last_disturbed_at;    /* time of the last start, signal, exit or fault */
-  int64_t newest_served_route; /* number of the newest added route that it served; 0: none */
+  bool paused;              /* SIGSTOP was sent */
+  bool stopping;            /* SIGTERM was sent */
+  LbTime restart_at;        /* time of the next restart; LB_TIME_NEVER: none */
+  LbTime resume_at;         /* end of the pause; LB_TIME_NEVER: not paused */
+  LbTime heal_at;           /* end of the store relay's fault; LB_TIME_NEVER: no fault */
+  LbTime sigterm_at;        /* time when SIGTERM was sent */
+  LbTime last_disturbed_at; /* time of the last start, signal, exit or fault */
+  /* number of the newest added route that the instance has served; 0: none */
+  int64_t newest_served_route;
 } SkInstance;
 
 /* An engine or a plain service, and the relay through which instances reach it. */
--- a/tests/soak/soak-processes.c
+++ b/tests/soak/soak-processes.c
@@ -45,7 +45,7 @@
 }
 
 static void
-send_due_calls_and_run_loop_once (SoakRun *run)
+send_due_calls_and_run_event_loop_once (SoakRun *run)
 {
   LbTime now = lb_clock_monotonic ();
 
@@ -71,7 +71,7 @@
 /* Returns the only kind of fault for every fourth seed, and NULL (all kinds) for the others. Some
  * invariants have a time limit that is checked only while no other kind of fault is active. */
 static const char *
-choose_fault_kind_of_seed (uint64_t seed)
+choose_only_fault_kind_for_seed (uint64_t seed)
 {
   size_t n = 1; /* sk_faults has at least one kind */
 
@@ -81,18 +81,18 @@
 }
 
 static void
-run_with_faults (SoakRun *run, const Options *options)
+run_traffic_with_faults (SoakRun *run, const Options *options)
 {
   const char *only_fault_kind = options->only_fault_kind
                                     ? options->only_fault_kind
-                                    : choose_fault_kind_of_seed (run->world.seed);
+                                    : choose_only_fault_kind_for_seed (run->world.seed);
   LbTime end = lb_clock_monotonic () + options->seconds * LB_SEC;
   LbTime next = lb_clock_monotonic () + LB_SEC;
 
   for (LbTime now = 0; (now = lb_clock_monotonic ()) < end;)
     {
       sk_faults_inject_next_if_due (&run->world, only_fault_kind, &next, now);
-      send_due_calls_and_run_loop_once (run);
+      send_due_calls_and_run_event_loop_once (run);
     }
 }
 
@@ -108,7 +108,7 @@
   sk_trainer_stop_after_step (run->trainer);
   while ((!sk_trainer_has_completed_last_step (run->trainer) || !are_all_instances_running (world))
          && lb_clock_monotonic () < end)
-    send_due_calls_and_run_loop_once (run);
+    send_due_calls_and_run_event_loop_once (run);
   if (!sk_trainer_has_completed_last_step (run->trainer))
     sk_report_violation (world, "every sample is delivered",
                          "the last step is incomplete after %.0f s",
@@ -121,7 +121,7 @@
     {
       sk_trainer_reread_results (run->trainer, &world->instances[i]);
       while (sk_trainer_has_call_in_progress (run->trainer))
-        send_due_calls_and_run_loop_once (run);
+        send_due_calls_and_run_event_loop_once (run);
     }
 }
 
@@ -137,7 +137,7 @@
     sk_instance_stop (&world->instances[i]);
   while (n_running > 0 && lb_clock_monotonic () < end)
     {
-      send_due_calls_and_run_loop_once (run);
+      send_due_calls_and_run_event_loop_once (run);
       n_running = 0;
       for (size_t i = 0; i < world->n_instances; i++)
         {
@@ -165,7 +165,7 @@
   run.crasher = sk_crasher_new (world);
   world->crasher = run.crasher;
   wait_until_instances_run (&run);
-  run_with_faults (&run, options);
+  run_traffic_with_faults (&run, options);
   end_faults_and_check_results (&run);
   stop_all_instances (&run);
   n_violations = world->n_violations;
