--- a/packages/node/src/batch/ln-batch-call.c
+++ b/packages/node/src/batch/ln-batch-call.c
@@ -8,7 +8,8 @@
 #include <stdlib.h>
 
 #define MAX_CALL_ATTEMPTS 4
-/* Longer than a healthy store takes to answer, a few tens of milliseconds. */
+/* Delay before an attempt that failed at the store is repeated. A healthy store answers within a
+ * few tens of milliseconds, so the delay is longer than that. */
 #define CALL_RETRY_DELAY (80 * LB_MSEC)
 
 static const char *const call_kind_names[] = {
--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -239,7 +239,7 @@
 }
 
 static void
-end_batch (LnBatchCall *call)
+end_batch_of_call (LnBatchCall *call)
 {
   const LnBatch *batch = find_batch_or_fail_call (call);
   char key[LN_BATCH_KEY_SIZE];
@@ -279,7 +279,7 @@
       read_item_body (call);
       break;
     case LN_BATCH_CALL_END:
-      end_batch (call);
+      end_batch_of_call (call);
       break;
     }
 }
--- a/packages/node/src/batch/ln-batch-cleanup.c
+++ b/packages/node/src/batch/ln-batch-cleanup.c
@@ -10,13 +10,14 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Maximum number of rows to remove in one transaction. The store accepts 100 entries, one of which
- * is the condition. */
+/* Maximum number of rows to remove in one transaction. The store accepts 100 entries per
+ * transaction, and the condition on the batch's row is one of them. */
 #define MAX_ROWS_PER_REMOVE_TRANSACTION 90
 /* Delay before a failed cleanup is retried. It is long because no batch waits for the space. */
 #define CLEANUP_RETRY_DELAY (10 * LB_SEC)
-/* The candidate of rank 0 cleans up a batch. A candidate of a higher rank waits this long per rank
- * and cleans up only if the batch still exists. */
+/* The live instances are ranked for each batch, and the instance of rank 0 cleans up the batch. An
+ * instance of a higher rank waits this long per rank and cleans up only if the batch still exists.
+ */
 #define CLEANUP_DELAY_PER_RANK (20 * LB_SEC)
 
 static LbMetric batches_removed
@@ -39,7 +40,7 @@
 }
 
 static void
-postpone_cleanup (LnBatch *batch, LbErrorCode error)
+postpone_batch_cleanup (LnBatch *batch, LbErrorCode error)
 {
   lb_log (LB_LOG_INFO, "batch_not_removed", LB_TEXT ("batch", batch->id),
           LB_TEXT ("error", lb_error_name (error)));
@@ -56,7 +57,7 @@
 
   if (error != LB_OK && !(error == LB_ERROR_CONDITION_FAILED && row->version == 0))
     {
-      postpone_cleanup (batch, error);
+      postpone_batch_cleanup (batch, error);
       return;
     }
   lb_metric_add (&batches_removed, 1);
@@ -86,7 +87,7 @@
   LnBatch *batch = user;
 
   if (error != LB_OK && error != LB_ERROR_NOT_FOUND)
-    postpone_cleanup (batch, error);
+    postpone_batch_cleanup (batch, error);
   else
     remove_batch_row (batch);
 }
@@ -108,7 +109,7 @@
   LnBatch *batch = user;
 
   if (error != LB_OK)
-    postpone_cleanup (batch, error);
+    postpone_batch_cleanup (batch, error);
   else
     remove_next_rows_or_content (batch);
 }
@@ -133,7 +134,7 @@
 
   if (error != LB_OK)
     {
-      postpone_cleanup (batch, error);
+      postpone_batch_cleanup (batch, error);
       return;
     }
   if (n_rows > 0)
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -25,11 +25,11 @@
 /* Time for the preferred instance to claim an offered batch; longer than several store round
  * trips. */
 #define BATCH_OFFER_TIMEOUT (300 * LB_MSEC)
-/* An owner that is missing from the member list is presumed alive for this time: it may
- * just have got its first duty, and its member row reaches all instances within this time. */
+/* An owner that is missing from the list of instances is presumed alive for this time, because the
+ * owner may just have started its first batch. Its row reaches all instances within this time. */
 #define UNKNOWN_OWNER_GRACE_PERIOD (2500 * LB_MSEC)
-/* A candidate waits this long per rank before it takes a batch over, so that the candidates do not
- * all write at once. */
+/* The instances that can take over a batch are ranked for the batch's model. An instance waits this
+ * long per rank before it takes the batch over, so that the instances do not all write at once. */
 #define BATCH_TAKEOVER_DELAY_PER_RANK (400 * LB_MSEC)
 
 static unsigned
--- a/packages/node/src/batch/ln-batch-owner.c
+++ b/packages/node/src/batch/ln-batch-owner.c
@@ -15,7 +15,7 @@
 #define DEFAULT_MAX_ITEM_ATTEMPTS 3
 /* A text that has no first event after this time is hedged on a second engine. The first event
  * usually takes 0.15 s. Without the hedge, an unresponsive engine delays the text until its stream
- * is considered broken, which takes 2 s of a step's 8 s. */
+ * is considered broken, which takes 2 s of the 8 s of a training step. */
 #define TEXT_HEDGE_DELAY (600 * LB_MSEC)
 #define DEFAULT_SCORE_TIMEOUT (2 * LB_SEC) /* used if the scorer's route has no timeout */
 /* Maximum number of entries that the store accepts in one transaction. LcBatch writes at most 40
@@ -110,8 +110,9 @@
   LN_POST (batch->batches->task.hub, calls, message);
 }
 
-/* Uses the model as the flow of fair queueing, so that the batches of a model are ordered by due
- * time. expected_tokens and resume_at are in events, the pieces of text that an engine streams. */
+/* Requests a text from an engine. Fair queueing treats all batches of a model as one flow, which is
+ * ordered by due time. expected_tokens and resume_at count events, the pieces of text that an
+ * engine streams. */
 static void
 request_text_generation (LnBatch *batch, const LcBatchAction *action)
 {
--- a/packages/node/src/batch/ln-batch-submit.c
+++ b/packages/node/src/batch/ln-batch-submit.c
@@ -185,8 +185,9 @@
   return last ? lc_batch_head_assigned_instance (&last->head) : "";
 }
 
-/* Divides the strength of each candidate by one plus the number of models already assigned to the
- * candidate. Otherwise a strong machine among weak ones would get the batches of all models. */
+/* Divides the strength (machine capacity) of each instance that may own the batch by one plus the
+ * number of models already assigned to the instance. Otherwise a strong machine among weak ones
+ * would get the batches of all models. */
 static void
 divide_strengths_by_model_counts (const LnBatches *batches, LcDutyCandidate *candidates, size_t n)
 {
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -107,15 +107,15 @@
   LnAdmissionState admission_state; /* routes and organisations for the admission of callers */
   LnMember *members;
   size_t n_members;
-  int64_t members_change_count; /* number of member lists received; 0: members are not known */
+  int64_t members_change_count; /* number of instance lists received; 0: no instances known */
   LnBatch *by_id;               /* hash table of all known batches */
   LnBatch *cleanup_batch; /* ended batch whose rows are being removed; NULL if there is none */
   struct LnModelHistory *model_histories; /* hash table with the model as key */
   LnBatchRequest *requests;               /* hash table of the requests in flight */
   LbList calls;                           /* list of the LnBatchCall in progress */
   LpFollow *row_watch;                    /* watch of the rows of all batches */
-  bool owns_any;                          /* whether this instance owns any batch, as last posted */
-  bool draining;                          /* set while this instance shuts down */
+  bool owns_any; /* last posted LN_DUTY_BATCHES: this instance owns a batch */
+  bool draining; /* set while this instance shuts down */
 };
 
 /* Defined in ln-batches.c, which holds the batches that this instance knows. */
@@ -140,7 +140,8 @@
 void ln_batch_format_all_text_chunks_prefix (const char *id, char *key);
 /* Prefix of the keys of the chunks of the text at one result position. */
 void ln_batch_format_text_chunks_prefix (const char *id, int64_t position, char *key);
-/* Returns the rank of this instance among the candidates for the duty; 0 is the first candidate. */
+/* Returns the rank of this instance among the live instances that may do the work `duty` for the
+ * batch. The instance of rank 0 does the work first. */
 size_t ln_batch_get_rank_of_this_instance (const LnBatch *batch, const char *duty);
 /* Writes rows on the condition that the batch's row still has the version batch->version. */
 void ln_batch_write_rows_if_batch_row_unchanged (const LnBatch *batch,
--- a/packages/node/src/batch/ln-batches.c
+++ b/packages/node/src/batch/ln-batches.c
@@ -11,8 +11,8 @@
 #include <string.h>
 
 #define BATCHES_TICK_INTERVAL (50 * LB_MSEC)
-/* Delay between watch requests for the rows of batches, on an instance that does not fit into the
- * full directory of instances. */
+/* Delay between watch requests for the rows of batches, on an instance that is missing from the
+ * directory, the size-limited list of instances in the store. */
 #define OMITTED_INSTANCE_WATCH_DELAY (2 * LB_SEC)
 
 static LbMetric batches_owned
@@ -98,15 +98,16 @@
   batches->members = lb_memdup (message->members, message->n_members * sizeof (LnMember));
   batches->n_members = message->n_members;
   batches->members_change_count++;
-  /* An instance that is missing from the directory may learn late of a batch, so it watches less
-   * often: it gets no offers, and it reads the store for a call about an unknown batch. */
+  /* An instance that is missing from the directory of instances gets no offers of batches, and
+   * reads the store for a call about an unknown batch. So the instance may learn late of a batch,
+   * and it watches the rows of batches less often. */
   lp_follow_set_watch_delay (batches->row_watch, message->is_omitted && !batches->owns_any
                                                      ? OMITTED_INSTANCE_WATCH_DELAY
                                                      : 0);
 }
 
 static void
-receive_batches_message (LnTask *base, const LnMessage *message)
+receive_message_for_batches_task (LnTask *base, const LnMessage *message)
 {
   LnBatches *batches = (LnBatches *)base;
 
@@ -153,7 +154,7 @@
 }
 
 static void
-on_batches_tick (void *user)
+on_batches_task_tick (void *user)
 {
   LnBatches *batches = user;
   LbTime now = lb_clock_monotonic ();
@@ -232,7 +233,7 @@
 }
 
 static const LnTaskClass batches_class = { .name = "rollouts",
-                                           .receive = receive_batches_message,
+                                           .receive = receive_message_for_batches_task,
                                            .drain = drain_batches_task,
                                            .is_idle = is_batches_task_idle,
                                            .free = free_batches_task };
@@ -249,7 +250,7 @@
   lb_list_init (&batches->calls);
   ln_batches_start_row_watch (batches);
   batches->tick = (LnPeriodicCall){ .period = BATCHES_TICK_INTERVAL,
-                                    .callback = on_batches_tick,
+                                    .callback = on_batches_task_tick,
                                     .user = batches };
   ln_ticker_add (ln_context_get_ticker (context), &batches->tick);
   return &batches->task;
--- a/packages/node/src/calls/ln-answer.h
+++ b/packages/node/src/calls/ln-answer.h
@@ -5,7 +5,8 @@
 
 typedef struct LnExchange LnExchange;
 
-/* A complete HTTP reply, stored for a caller that retries the request with the same ticket. */
+/* A complete HTTP reply to a call with a ticket (an idempotency key), stored for a caller that
+ * retries the call with the same ticket. */
 typedef struct
 {
   int status;
--- a/packages/node/src/calls/ln-call.h
+++ b/packages/node/src/calls/ln-call.h
@@ -50,8 +50,8 @@
   LcRequestSpec spec;
   LnExchange *exchange; /* NULL: sample or score, caller disconnected, or already replied to */
   LbTime submitted_at;
-  bool is_submitted; /* the call was passed to the dispatch, which ends it by a FINISH action */
-  bool has_ticket;   /* the call continues if the caller disconnects, for a retry with the ticket */
+  bool is_submitted; /* LcDispatch has received the call, and ends it by a FINISH action */
+  bool has_ticket;   /* the caller can retry by ticket, so the call continues after a disconnect */
   bool wants_stream; /* the caller requested a stream of events */
   bool is_stream_started;
   LbTime last_sent_at;      /* when bytes were last sent on the caller's stream */
@@ -83,7 +83,8 @@
 bool ln_call_is_for_engine (const LnCall *call);
 /* Path of the engine's API that serves the call. Not used on a shared platform. */
 const char *ln_call_get_engine_path (const LnCall *call);
-/* Fingerprint of the request. Call it before the first attempt, which modifies the body. */
+/* Returns a hash of the request, by which a request that crashes endpoints is recognised. Call the
+ * function before the first attempt, which modifies the body. */
 LcFingerprint ln_call_compute_fingerprint (const LnCall *call);
 /* Formats the JSON body of an attempt that starts at token resume_at; the caller frees it. */
 char *ln_call_format_engine_body (LnCall *call, const char *stream_id, int64_t resume_at);
--- a/packages/node/src/calls/ln-calls-attempts.c
+++ b/packages/node/src/calls/ln-calls-attempts.c
@@ -48,8 +48,9 @@
   LN_POST (calls->task.hub, ln_hub_find_task (calls->task.hub, "rollouts"), message);
 }
 
-/* Records the weight version that an engine reports in its events. It is more reliable than the
- * endpoint list, which lags behind, and the weight plan, which may be wrong. */
+/* Records the weight version that an engine reports in its events. The report is more reliable than
+ * the endpoint list, which lags behind, and than the plan of the engines' weight loads, which may
+ * be wrong. */
 static void
 record_reported_weight_version (LnCalls *calls,
                                 const LnCall *call,
@@ -190,8 +191,8 @@
   LN_POST (calls->task.hub, duties, message);
 }
 
-/* Counts a running call in its organisation's usage, since the usage report for the call's start
- * time may be due before the call ends. */
+/* Counts a running call in its organisation's usage without waiting for the call's end, because the
+ * usage report for the time window in which the call started may be due before the call ends. */
 void
 ln_calls_count_running_call_in_usage (LnCalls *calls, LnCall *call, LbTime now)
 {
--- a/packages/node/src/calls/ln-calls-private.h
+++ b/packages/node/src/calls/ln-calls-private.h
@@ -17,8 +17,8 @@
 
 #include <event2/util.h>
 
-/* The "calls" task: owns the dispatch and performs its actions, which send, cancel and finish
- * requests to endpoints. */
+/* The task "calls": has the LcDispatch that queues and routes calls, and performs its actions,
+ * which send, cancel and finish requests to endpoints. */
 typedef struct
 {
   LnTask task; /* must be the first member */
@@ -31,7 +31,7 @@
   LnLeaving *leaving;
   LnEndpointChecks *checks;
   LnCrashes *crashes;
-  struct event *dispatch_timer;     /* fires when the dispatch's next action is due */
+  struct event *dispatch_timer;     /* fires when LcDispatch has its next action */
   LnPeriodicCall periodic_call;     /* sends keep-alives, updates gauges, counts usage */
   LnAdmissionState admission_state; /* routes and organisations of a shared platform */
   LcUtilisation *utilisation;
@@ -81,7 +81,8 @@
 
 /* ln-routed.c: handles a caller's request on a shared platform, by the platform's routes */
 void ln_routed_handle_platform_request (LnCalls *calls, LnExchange *exchange);
-/* Fails queued calls whose API key the current desired state no longer contains. */
+/* Fails queued calls whose API key was revoked: the operators' newest configuration no longer
+ * contains the key. */
 void ln_routed_fail_calls_with_revoked_key (LnCalls *calls);
 
 #endif
--- a/packages/node/src/calls/ln-calls-requests.c
+++ b/packages/node/src/calls/ln-calls-requests.c
@@ -118,10 +118,11 @@
   ln_answer_clear (&answer);
 }
 
-/* Runs, joins, replays, relays or rejects the call, depending on its ticket; takes ownership of the
- * call. */
+/* Handles a call with a ticket (an idempotency key). As the ticket requires, runs the call, waits
+ * for the running call with the same ticket, replays the stored answer, relays the call to another
+ * instance or rejects the call. Takes ownership of the call. */
 static void
-redeem_ticket (LnCalls *calls, LnCall *call, const char *ticket)
+handle_call_with_ticket (LnCalls *calls, LnCall *call, const char *ticket)
 {
   LcTicketDecision decision
       = lc_tickets_redeem (ln_ticket_calls_get_tickets (calls->tickets), ticket, call->spec.caller,
@@ -165,7 +166,7 @@
     }
   if (ticket)
     {
-      redeem_ticket (calls, call, ticket);
+      handle_call_with_ticket (calls, call, ticket);
       return;
     }
   ln_exchange_reply_error (call->exchange, error, LB_SEC);
@@ -278,7 +279,7 @@
   if (!call)
     return;
   if (ticket)
-    redeem_ticket (calls, call, ticket);
+    handle_call_with_ticket (calls, call, ticket);
   else if (key)
     claim_idempotency_key (calls, call, key);
   else
--- a/packages/node/src/calls/ln-calls.c
+++ b/packages/node/src/calls/ln-calls.c
@@ -200,7 +200,7 @@
 }
 
 static void
-receive_calls_message (LnTask *task, const LnMessage *message)
+receive_message_for_calls_task (LnTask *task, const LnMessage *message)
 {
   LnCalls *calls = (LnCalls *)task;
   const LnEndpointSwapMessage *swap;
@@ -309,7 +309,7 @@
 }
 
 static const LnTaskClass calls_class = { .name = "calls",
-                                         .receive = receive_calls_message,
+                                         .receive = receive_message_for_calls_task,
                                          .drain = drain_calls_task,
                                          .is_idle = is_calls_task_idle,
                                          .free = free_calls_task };
--- a/packages/node/src/calls/ln-claims.c
+++ b/packages/node/src/calls/ln-claims.c
@@ -126,7 +126,8 @@
   free (claim);
 }
 
-/* Must not be called while the platform may still answer, since its callbacks use the claims. */
+/* Must not be called while the platform may still answer a pending call, since the callbacks of
+ * these calls use the LnClaims. */
 void
 ln_claims_free (LnClaims *claims)
 {
--- a/packages/node/src/calls/ln-upstream.c
+++ b/packages/node/src/calls/ln-upstream.c
@@ -118,7 +118,7 @@
 }
 
 static void
-on_sse_event (const char *data, size_t length, void *user)
+on_upstream_sse_event (const char *data, size_t length, void *user)
 {
   LnUpstream *upstream = user;
   struct json_object *event = NULL;
@@ -182,7 +182,8 @@
   LbError error;
 
   if (!upstream->dialect)
-    return lh_sse_parse_data_lines (&upstream->sse, bytes, length, on_sse_event, upstream, &error);
+    return lh_sse_parse_data_lines (&upstream->sse, bytes, length, on_upstream_sse_event, upstream,
+                                    &error);
   if (!is_reply_to_request (upstream, fetch))
     {
       lb_metric_add (&streams_aborted, 1);
