--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -129,7 +129,7 @@
 }
 
 static struct json_object *
-filtered_set_to_json (const LcResourceSet *set, const ResourceFilter *filter)
+filtered_resources_to_json (const LcResourceSet *set, const ResourceFilter *filter)
 {
   struct json_object *object = lc_resource_set_to_json (set);
   struct json_object *all = json_object_object_get (object, "resources");
@@ -157,7 +157,8 @@
                         "expected a resource kind: pool, subscription, version_bound or endpoint");
       return;
     }
-  struct json_object *object = filtered_set_to_json (lc_config_active_set (task->config), &filter);
+  struct json_object *object
+      = filtered_resources_to_json (lc_config_active_set (task->config), &filter);
   if (filter.name[0]
       && json_object_array_length (json_object_object_get (object, "resources")) == 0)
     {
--- a/packages/node/src/config/ln-config-change.c
+++ b/packages/node/src/config/ln-config-change.c
@@ -205,7 +205,7 @@
 }
 
 static void
-commit_new_set (LnChange *change)
+commit_new_resource_set (LnChange *change)
 {
   char *history = history_row_to_text (change);
 
@@ -227,8 +227,8 @@
 }
 
 /* Handles an outdated revision in If-Match. If the history row of the next revision has this
- * change's token, the change was committed but its reply was lost. The operator's retry then gets
- * the same reply; any other change is rejected. */
+ * change's token, the change was committed but the operator's first request got no reply, so the
+ * retry gets the same reply. Any other change is rejected. */
 static void
 on_history_of_next_revision_read (LbErrorCode error, struct json_object *rows, void *user)
 {
@@ -267,8 +267,8 @@
 
   int64_t revision = lc_config_active_revision (task->config);
   if (read->revision < revision || change->read_attempts > MAX_HEAD_READ_ATTEMPTS)
-    /* A revision below the active one means a stale read. Many attempts mean that other instances
-     * kept committing first. */
+    /* A revision below the active one shows that the store returned an outdated row. After many
+     * read attempts, other instances probably kept committing first. */
     reject_change_with_code (
         change, LB_ERROR_STORE_BUSY,
         "the head row as read is stale, or other instances keep committing first", LB_SEC);
@@ -405,7 +405,7 @@
   if (!change || change->state != CHANGE_AWAITING_MAJORITY)
     return;
   if (lc_config_has_answers_of_majority (task->config, change->announced_at))
-    commit_new_set (change);
+    commit_new_resource_set (change);
   else if (now - change->announced_at > MAJORITY_TIMEOUT)
     {
       announce_abandoned_change_to_instances (change);
--- a/packages/node/src/config/ln-config-store.c
+++ b/packages/node/src/config/ln-config-store.c
@@ -124,7 +124,7 @@
 }
 
 static void
-request_row (LnConfigStore *store, const char *key, LpRowsDone done, void *user)
+request_config_row (LnConfigStore *store, const char *key, LpRowsDone done, void *user)
 {
   store->platform->klass->get (store->platform, key, done, user);
 }
@@ -206,7 +206,7 @@
       return;
     }
   snprintf (key, sizeof key, "config/set/%020lld", (long long)read->result.revision);
-  request_row (read->store, key, on_resource_set_row_read, read);
+  request_config_row (read->store, key, on_resource_set_row_read, read);
 }
 
 static void
@@ -214,7 +214,7 @@
 {
   read->attempts++;
   read->result.requested_at = lb_clock_monotonic ();
-  request_row (read->store, HEAD_ROW_KEY, on_config_head_row_read, read);
+  request_config_row (read->store, HEAD_ROW_KEY, on_config_head_row_read, read);
 }
 
 void
@@ -294,7 +294,7 @@
   char key[MAX_ROW_KEY_BYTES];
 
   snprintf (key, sizeof key, "config/history/%020lld", (long long)commit->revision);
-  request_row (commit->store, key, on_history_row_read, commit);
+  request_config_row (commit->store, key, on_history_row_read, commit);
 }
 
 static void
--- a/packages/node/src/config/ln-config-task.h
+++ b/packages/node/src/config/ln-config-task.h
@@ -17,12 +17,12 @@
   LcConfig *config;
   LnConfigStore *store;
   struct event *timer;
-  bool is_polling_head;      /* a read of the head row for LcConfig is in progress */
+  bool is_polling_head;      /* LcConfig requested the accepted revision, which is being read */
   bool is_listing_instances; /* a read of the platform's list of instances is in progress */
   LbTime next_listing_at;    /* earliest time of the next read of the instance list */
   LbList changes; /* list of LnChange, submitted by operators; only the first is in progress */
   LbList watches; /* list of LnConfigWatch: operators' requests that wait for a change */
-  LbList pool_controllers;         /* list of LnPoolController, one per pool with engines */
+  LbList pool_controllers;         /* list of LnPoolController, one per pool that has engines */
   LbList pool_operations;          /* list of LnPoolOperation in progress */
   uint64_t last_controller_serial; /* serial of the last pool controller created */
   /* JSON array of engines' weight changes, sent to all instances at the next tick; NULL: none. */
--- a/packages/node/src/config/ln-config.c
+++ b/packages/node/src/config/ln-config.c
@@ -75,7 +75,7 @@
 }
 
 static void
-post_activated_set (LnConfigTask *task, const LcResourceSet *set)
+post_activated_resource_set (LnConfigTask *task, const LcResourceSet *set)
 {
   LnConfigMessage message = { .base = LN_MESSAGE (LN_CONFIG) };
 
@@ -116,7 +116,7 @@
       ln_config_send_peer_message (task, action->to, lc_config_message_to_json (&action->message));
       break;
     case LC_CONFIG_ACTIVATED:
-      post_activated_set (task, action->set);
+      post_activated_resource_set (task, action->set);
       break;
     case LC_CONFIG_READINESS_CHANGED:
       post_config_readiness (task, action->ready);
@@ -149,7 +149,7 @@
 typedef struct
 {
   const LpInstanceList *list;
-  LbName removed; /* an unreachable instance that the list does not contain; "": none */
+  LbName removed; /* an unreachable instance that is missing from `list`; "": none */
 } UnlistedSearch;
 
 static void
@@ -165,7 +165,8 @@
 }
 
 /* Forgets unreachable instances that the platform no longer lists. Until an instance is forgotten,
- * it counts as outdated and as one of the known instances that a majority is computed from. */
+ * the instance counts as one with an outdated revision, and as one of the known instances of which
+ * a majority has to answer a configuration change. */
 static void
 on_instances_listed (LbErrorCode error, const LpInstanceList *list, void *user)
 {
@@ -262,7 +263,7 @@
 }
 
 static void
-receive_config_message (LnTask *base, const LnMessage *message)
+receive_message_for_config_task (LnTask *base, const LnMessage *message)
 {
   LnConfigTask *task = config_task_from_base (base);
 
@@ -318,7 +319,7 @@
 }
 
 static const LnTaskClass config_class = { .name = "config",
-                                          .receive = receive_config_message,
+                                          .receive = receive_message_for_config_task,
                                           .drain = drain_config_task,
                                           .is_idle = is_config_task_idle,
                                           .free = free_config_task };
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -52,14 +52,14 @@
   LnEnginePlans *engine_plans;
   int64_t revision;           /* revision of the last resource set made from the roster */
   LpFollow *operator_rows;    /* watches the rows that operators and trainers write */
-  LbTime posted_confirmed_at; /* time in the last LN_DESIRED_CONFIRMED posted */
+  LbTime posted_confirmed_at; /* confirmation time that was last posted as LN_DESIRED_CONFIRMED */
   bool has_listed_endpoints;  /* this instance has read a list of endpoints from the store */
   LbTime next_list_at;
   LbTime last_tick_at;
-  bool posted_ready;               /* LN_READY was posted */
-  bool posted_has_orders_lease;    /* value in the last LN_DUTY posted */
-  bool runs_batches;               /* this instance runs trainers' batches */
-  bool posted_is_catalog_followed; /* value in the last LN_CATALOG_FOLLOWED posted */
+  bool posted_ready;            /* LN_READY was posted */
+  bool posted_has_orders_lease; /* last posted LN_DUTY: this instance has the weight-orders lease */
+  bool runs_batches;            /* this instance runs trainers' batches */
+  bool posted_is_catalog_followed; /* last posted LN_CATALOG_FOLLOWED: the catalog is watched */
   bool draining;
 } DesiredTask;
 
@@ -345,8 +345,9 @@
   post_weight_version_of_each_endpoint (user);
 }
 
-/* The publisher lists the endpoints at the catalog's period, since most instances get their list of
- * endpoints only from the catalog. */
+/* One instance, the publisher, writes the list of endpoints to the store's table "catalog". The
+ * publisher reads the endpoints at the period of its publications, because most instances get their
+ * list of endpoints only from that table. */
 static LbTime
 get_endpoint_list_period (const DesiredTask *task)
 {
@@ -412,7 +413,7 @@
 }
 
 static void
-on_desired_tick (void *user)
+on_desired_task_tick (void *user)
 {
   DesiredTask *task = user;
   LbTime now = lb_clock_monotonic ();
@@ -446,7 +447,7 @@
 }
 
 static void
-record_batch_duty (DesiredTask *task, const LnDutyMessage *message)
+update_runs_batches_from_duty_message (DesiredTask *task, const LnDutyMessage *message)
 {
   if (message->duty == LN_DUTY_BATCHES)
     task->runs_batches = message->held;
@@ -470,7 +471,7 @@
 }
 
 static void
-receive_desired_message (LnTask *base, const LnMessage *message)
+receive_message_for_desired_task (LnTask *base, const LnMessage *message)
 {
   DesiredTask *task = (DesiredTask *)base;
 
@@ -483,7 +484,7 @@
   else if (message->type == LN_FLEET)
     ln_catalog_set_members (task->catalog, fleet->members, fleet->n_members);
   else if (message->type == LN_DUTY)
-    record_batch_duty (task, (const LnDutyMessage *)message);
+    update_runs_batches_from_duty_message (task, (const LnDutyMessage *)message);
   else if (message->type == LN_DEMAND)
     add_model_demand (task, demand, lb_clock_monotonic ());
 }
@@ -524,7 +525,7 @@
 }
 
 static const LnTaskClass desired_class = { .name = "config",
-                                           .receive = receive_desired_message,
+                                           .receive = receive_message_for_desired_task,
                                            .drain = drain_desired_task,
                                            .is_idle = is_desired_task_idle,
                                            .free = free_desired_task };
@@ -557,7 +558,7 @@
       = lp_follow_new (context->platform, &follow_settings, on_operator_rows_changed, task);
   task->last_tick_at = lb_clock_monotonic ();
   task->tick = (LnPeriodicCall){ .period = DESIRED_TICK_PERIOD,
-                                 .callback = on_desired_tick,
+                                 .callback = on_desired_task_tick,
                                  .user = task };
   ln_ticker_add (ln_context_get_ticker (context), &task->tick);
   return &task->task;
--- a/packages/node/src/duties/ln-duties.c
+++ b/packages/node/src/duties/ln-duties.c
@@ -36,7 +36,7 @@
   LnUsageReporter *usage_reporter; /* NULL: no usage reports are configured */
   LnScaler *scaler;                /* NULL: no orders of endpoints are configured */
   size_t n_members;                /* number of known instances */
-  bool posted_is_held;             /* value of `held` in the last LN_DUTY posted */
+  bool posted_is_held;             /* last posted LN_DUTY: this instance has the lease */
   LbTime draining_since;           /* start of draining; 0: not draining */
 } Duties;
 
@@ -106,7 +106,7 @@
 }
 
 static void
-receive_duties_message (LnTask *task, const LnMessage *message)
+receive_message_for_duties_task (LnTask *task, const LnMessage *message)
 {
   Duties *duties = (Duties *)task;
   const LnRequestStartedMessage *started = (const LnRequestStartedMessage *)message;
@@ -160,7 +160,7 @@
 }
 
 static const LnTaskClass duties_class = { .name = "duties",
-                                          .receive = receive_duties_message,
+                                          .receive = receive_message_for_duties_task,
                                           .drain = drain_duties_task,
                                           .is_idle = is_duties_task_idle,
                                           .free = free_duties_task };
--- a/packages/node/src/duties/ln-duty-lease.c
+++ b/packages/node/src/duties/ln-duty-lease.c
@@ -13,15 +13,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Bounds the time without a holder after a failure: engines get no new weights in that time while
- * trainers continue. Even if the store is 60 times slower than usual, a renewal (a read and a
- * write) takes only half a second. */
+/* Limits the time without a lease holder after the holder failed: engines get no new weights in
+ * that time while trainers continue. Even if the store is 60 times slower than usual, a renewal (a
+ * read and a write) takes only half a second. */
 #define LEASE_DURATION (2 * LB_SEC)
 /* Lease duration if engines accept orders with any fencing token: such an engine must not get
  * orders of two alternating holders within 3 s. */
 #define UNFENCED_LEASE_DURATION (3200 * LB_MSEC)
-#define RENEWAL_PERIOD (500 * LB_MSEC)     /* allows three renewals within LEASE_DURATION */
-#define OBSERVER_POLL_PERIOD (10 * LB_SEC) /* time between reads by a non-candidate */
+#define RENEWAL_PERIOD (500 * LB_MSEC) /* allows three renewals within LEASE_DURATION */
+/* Time between two reads of the lease's row by an instance that may not claim the lease. */
+#define OBSERVER_POLL_PERIOD (10 * LB_SEC)
 #define MAX_CANDIDATES 3
 /* A holder that loses and regains the lease makes no calls for this long after the loss. Receivers
  * that get calls from holder A, holder B and A again within 3 s can't tell which one is current. */
@@ -159,8 +160,9 @@
   return n;
 }
 
-/* The MAX_CANDIDATES instances with the lowest ranks are candidates. A candidate claims a free
- * lease a little later than the candidate of the next lower rank. */
+/* Ranks the instances, those on strong machines first. Only the MAX_CANDIDATES instances with the
+ * lowest ranks may claim the lease. Each claims a free lease a little later than the instance of
+ * the next lower rank. */
 void
 ln_duty_lease_set_members (LnDutyLease *lease, const LnMembersMessage *members)
 {
@@ -193,8 +195,9 @@
     }
 }
 
-/* Only candidates check whether the holder's process has ended: otherwise the hundreds of instances
- * of a large site would all read the lease's row at the same moment. */
+/* Renews or claims the lease if due. Only the few instances that may claim the lease check whether
+ * the holder's process has ended, because otherwise the hundreds of instances of a large site would
+ * all read the lease's row at the same moment. */
 void
 ln_duty_lease_tick (LnDutyLease *lease, bool all_check_fences, LbTime now)
 {
--- a/packages/node/src/duties/ln-duty-lease.h
+++ b/packages/node/src/duties/ln-duty-lease.h
@@ -35,8 +35,8 @@
 bool ln_duty_lease_is_held (const LnDutyLease *lease);
 bool ln_duty_lease_is_candidate (const LnDutyLease *lease);
 bool ln_duty_lease_is_released (const LnDutyLease *lease, LbTime now);
-/* Whether this instance may make a call of the duty now; check before each call.
- * fence_is_unchecked: the receiver accepts calls with any fencing token. */
+/* Whether this instance holds the lease and may make a call for the duty now; to be checked before
+ * each call. fence_is_unchecked: the receiver accepts calls with any fencing token. */
 bool ln_duty_lease_allows_call (const LnDutyLease *lease, bool fence_is_unchecked, LbTime now);
 int64_t ln_duty_lease_fencing_token (const LnDutyLease *lease);
 
--- a/packages/node/src/duties/ln-scaler.c
+++ b/packages/node/src/duties/ln-scaler.c
@@ -19,7 +19,7 @@
   LcDesired *desired; /* desired state of the services; NULL: not known */
   LcResourceSet *set; /* endpoints in use; NULL: not known */
   LbList calls;       /* LnPlatformCall in progress */
-  int64_t duty_epoch; /* incremented when the duty is gained or lost */
+  int64_t duty_epoch; /* incremented when this instance gains or loses the lease */
 };
 
 typedef struct
@@ -96,8 +96,9 @@
   return LC_SCALING_REFUSED;
 }
 
-/* Requests a read of the lease's row if the platform refused the order, which may mean that another
- * instance holds the lease now and has a higher fencing number. */
+/* Handles the platform's answer to an order of endpoints. If the platform refused the order,
+ * another instance may hold the lease now with a higher fencing number, so the lease's row is read
+ * again. */
 static void
 on_scaling_order_answered (LnDutyOutcome outcome, void *user)
 {
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -74,8 +74,8 @@
   Engine *engines;       /* hash table by name */
 };
 
-/* Called when the weights lease was gained or lost. Discards the engines' states, since this
- * instance does not know the orders of the previous lease holder. */
+/* Called when this instance gained or lost the lease for ordering weights. Discards the engines'
+ * states, since this instance does not know the orders of the previous lease holder. */
 static void
 discard_engine_states (LbTime now, void *user)
 {
