--- a/packages/node/src/endpoints/ln-crash-frame.c
+++ b/packages/node/src/endpoints/ln-crash-frame.c
@@ -8,7 +8,8 @@
 
 #define FRAME_TOPIC "calls"
 #define FRAME_KIND "crash"
-#define N_FRAME_FIELDS 3 /* elements of the frame's array: kind, key, text */
+/* Number of array elements in the frame's msgpack: "crash", key of the row, text of the row. */
+#define N_FRAME_FIELDS 3
 
 static void
 free_frame_payload (LnMessage *message)
--- a/packages/node/src/endpoints/ln-crash-frame.h
+++ b/packages/node/src/endpoints/ln-crash-frame.h
@@ -8,8 +8,8 @@
  * endpoint's name. */
 #define LN_CRASH_TEXT_SIZE 2048
 
-/* Store row of a crash report, or of the clearance of a request that an endpoint answered; an
- * instance sends it to the others in a frame. */
+/* Row of the store that reports requests under which an endpoint crashed, or that clears a request
+ * because an endpoint answered it. An instance also sends the row to the others in a frame. */
 typedef struct
 {
   char key[LC_CRASH_REPORT_ID_SIZE];
--- a/packages/node/src/endpoints/ln-crash-row.h
+++ b/packages/node/src/endpoints/ln-crash-row.h
@@ -3,8 +3,8 @@
 
 #include "lc-quarantine.h"
 
-/* Store row with which an instance shares a crash report, or the clearance of a request that an
- * endpoint answered, with the other instances. */
+/* Row of the store by which an instance reports to the others the requests under which an endpoint
+ * crashed, or clears a request because an endpoint answered it. */
 typedef struct
 {
   bool is_clearance; /* an endpoint answered the request report.fingerprints[0] at report.at, so the
--- a/packages/node/src/endpoints/ln-crashes.c
+++ b/packages/node/src/endpoints/ln-crashes.c
@@ -158,8 +158,8 @@
     lc_quarantine_add_report (crashes->quarantine, &row.report, now);
 }
 
-/* Withdraws the crash report of a row that was removed from the store: the row expired, or an
- * operator released the request from quarantine. */
+/* Withdraws the crash report of a row that was removed from the store. A row is removed when it
+ * expires, or when an operator allows the blocked request again. */
 static void
 withdraw_removed_crash_row (LnCrashes *crashes, const char *key)
 {
--- a/packages/node/src/endpoints/ln-crashes.h
+++ b/packages/node/src/endpoints/ln-crashes.h
@@ -16,14 +16,15 @@
 
 /* Reads the rows of other instances, retries failed writes and removes expired rows. */
 void ln_crashes_tick (LnCrashes *crashes, LbTime now);
-/* Publishes a crash report: the endpoint crashed at `at`, and the requests of this instance with
- * these fingerprints failed with it. */
+/* Reports to all instances that the endpoint crashed at `at` while it processed the requests of
+ * this instance with these fingerprints (hashes of the requests). */
 void ln_crashes_report_crash (LnCrashes *crashes,
                               const char *endpoint,
                               LbTime at,
                               const LcFingerprint *fingerprints,
                               size_t n_fingerprints);
-/* Publishes the clearances that are pending in the quarantine (see lc_quarantine_pop_clearance). */
+/* Informs the other instances of suspected requests that an endpoint has answered on this instance
+ * since the last call, and which therefore caused no crash (see lc_quarantine_pop_clearance). */
 void ln_crashes_publish_clearances (LnCrashes *crashes);
 /* Returns true once the rows written before this instance started have been read, or two seconds
  * after its start if they could not be read. */
--- a/packages/node/src/endpoints/ln-endpoint-list.h
+++ b/packages/node/src/endpoints/ln-endpoint-list.h
@@ -6,8 +6,8 @@
 #include "lc-subset.h"
 #include "ln-context.h"
 
-/* Lists endpoints from the shared platform's store, page by page, until this instance's subset of
- * the endpoints is complete. */
+/* Lists endpoints from the shared platform's store, page by page. Ends before the last page when
+ * the subset of the endpoints that this instance uses is complete. */
 typedef struct LnEndpointList LnEndpointList;
 
 typedef struct
--- a/packages/node/src/endpoints/ln-leaving.c
+++ b/packages/node/src/endpoints/ln-leaving.c
@@ -11,7 +11,8 @@
 #include <uthash.h>
 
 #define FRAME_TOPIC "calls"
-#define N_FRAME_FIELDS 2 /* elements of the frame's array: endpoint name, incarnation */
+/* Number of array elements in the frame's msgpack: name and incarnation of the endpoint. */
+#define N_FRAME_FIELDS 2
 
 typedef struct
 {
@@ -23,7 +24,7 @@
 struct LnLeaving
 {
   LnTask *task;
-  AnnouncedEndpoint *announced; /* incarnations announced as leaving, by endpoint name */
+  AnnouncedEndpoint *announced; /* by endpoint name: incarnation announced as about to stop */
 };
 
 LnLeaving *
@@ -49,8 +50,8 @@
   free (leaving);
 }
 
-/* Records that this incarnation of the endpoint was announced as leaving; returns false if it was
- * recorded already. */
+/* Records that this incarnation of the endpoint was announced as about to stop; returns false if
+ * the announcement was recorded already. */
 static bool
 record_announced_incarnation (LnLeaving *leaving, const char *endpoint, const char *incarnation)
 {
--- a/packages/node/src/front/ln-exchange.c
+++ b/packages/node/src/front/ln-exchange.c
@@ -268,7 +268,7 @@
 }
 
 static void
-finish_reply (LnExchange *exchange)
+finish_exchange_reply (LnExchange *exchange)
 {
   LnCaller *caller = exchange->caller;
 
@@ -306,7 +306,7 @@
       evbuffer_add (exchange->request->buffer_out, text, length);
       evhtp_send_reply (exchange->request, (evhtp_res)status);
     }
-  finish_reply (exchange);
+  finish_exchange_reply (exchange);
 }
 
 void
@@ -419,5 +419,5 @@
     evhtp_send_reply_chunk_end (exchange->request);
   else if (can_write_reply (exchange))
     evhtp_send_reply_end (exchange->request);
-  finish_reply (exchange);
+  finish_exchange_reply (exchange);
 }
--- a/packages/node/src/front/ln-front.c
+++ b/packages/node/src/front/ln-front.c
@@ -19,8 +19,8 @@
 #include <string.h>
 
 #define LISTEN_BACKLOG 1024
-/* Listeners for callers, address lookups, readiness checks, metrics and, on a shared platform,
- * other instances. */
+/* Maximum number of listeners: one each for callers, address lookups, readiness checks, metrics
+ * and, on a shared platform, other instances. */
 #define MAX_LISTENERS 5
 
 /* The HTTP front end: receives complete requests, within the configured limits, and posts each to
@@ -201,7 +201,7 @@
 }
 
 static void
-receive_front_message (LnTask *task, const LnMessage *message)
+receive_message_for_front_task (LnTask *task, const LnMessage *message)
 {
   LnFront *front = (LnFront *)task;
 
@@ -269,7 +269,7 @@
 }
 
 static const LnTaskClass front_class = { .name = "front",
-                                         .receive = receive_front_message,
+                                         .receive = receive_message_for_front_task,
                                          .drain = drain_front_task,
                                          .is_idle = is_front_task_idle,
                                          .free = free_front_task };
--- a/packages/node/src/front/ln-linger.c
+++ b/packages/node/src/front/ln-linger.c
@@ -51,7 +51,7 @@
 }
 
 static void
-on_closed_or_timeout (struct bufferevent *bev, short what, void *user)
+on_linger_closed_or_timeout (struct bufferevent *bev, short what, void *user)
 {
   (void)bev;
   (void)what;
@@ -67,7 +67,8 @@
   linger->lingers = lingers;
   linger->bev = bev;
   lb_list_append (lingers, &linger->link);
-  bufferevent_setcb (bev, discard_received_input, on_output_flushed, on_closed_or_timeout, linger);
+  bufferevent_setcb (bev, discard_received_input, on_output_flushed, on_linger_closed_or_timeout,
+                     linger);
   bufferevent_set_timeouts (bev, &flush, &flush);
   bufferevent_setwatermark (bev, EV_READ, 0, 0);
   bufferevent_enable (bev, EV_READ | EV_WRITE);
--- a/packages/node/src/front/ln-linger.h
+++ b/packages/node/src/front/ln-linger.h
@@ -10,8 +10,8 @@
  * caller's operating system would discard the unread reply. */
 typedef struct LnLinger LnLinger;
 
-/* Starts the lingering close of bev and takes ownership of bev. The LnLinger in lingers frees
- * itself when the connection is closed. */
+/* Starts the lingering close of the connection bev and takes ownership of bev. Adds an LnLinger to
+ * the list `lingers`, which is removed and freed when the connection is closed. */
 void ln_linger_start (LbList *lingers, struct bufferevent *bev);
 /* Closes all connections at once, without waiting for pending output. */
 void ln_linger_free_all (LbList *lingers);
--- a/packages/node/src/front/ln-recorder.c
+++ b/packages/node/src/front/ln-recorder.c
@@ -46,7 +46,7 @@
   bool is_repeatable;
   int trainer;         /* index in LnRecorder.trainers */
   int64_t step;        /* step number that the trainer assigned */
-  int64_t replay_step; /* index of the step among the trainer's accepted steps */
+  int64_t replay_step; /* step number in the trace: index among the trainer's accepted steps */
   bool is_accepted;
 } Record;
 
@@ -103,7 +103,7 @@
 }
 
 static Record *
-add_record (LnRecorder *recorder, RecordType type, const LnExchange *exchange, LbTime now)
+add_trace_record (LnRecorder *recorder, RecordType type, const LnExchange *exchange, LbTime now)
 {
   Record *record;
 
@@ -153,7 +153,7 @@
 record_engine_call (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
 {
   struct json_object *body = parse_json_body (exchange);
-  Record *record = body ? add_record (recorder, RECORD_CALL, exchange, now) : NULL;
+  Record *record = body ? add_trace_record (recorder, RECORD_CALL, exchange, now) : NULL;
 
   if (record)
     {
@@ -168,7 +168,7 @@
 static void
 record_service_call (LnRecorder *recorder, const LnExchange *exchange, LbTime now)
 {
-  Record *record = add_record (recorder, RECORD_SERVICE, exchange, now);
+  Record *record = add_trace_record (recorder, RECORD_SERVICE, exchange, now);
 
   if (!record)
     return;
@@ -237,7 +237,7 @@
   /* A trainer repeats the request for a step after a lost reply; the repetition is not recorded. */
   if (trainer >= 0 && !find_recorded_step (recorder, trainer, step))
     {
-      Record *record = add_record (recorder, RECORD_STEP, exchange, now);
+      Record *record = add_trace_record (recorder, RECORD_STEP, exchange, now);
       if (record)
         {
           record->trainer = trainer;
--- a/packages/node/src/front/ln-request-scanner.c
+++ b/packages/node/src/front/ln-request-scanner.c
@@ -67,7 +67,7 @@
 }
 
 static bool
-is_blank (const char *text)
+is_blank_text (const char *text)
 {
   return text[strspn (text, " \t")] == '\0';
 }
@@ -86,7 +86,7 @@
     scanner->remaining = strtoull (content_length, NULL, 10);
   if (transfer_coding)
     scanner->is_chunked = strncasecmp (transfer_coding, chunked, sizeof chunked - 1) == 0
-                          && is_blank (transfer_coding + sizeof chunked - 1);
+                          && is_blank_text (transfer_coding + sizeof chunked - 1);
 }
 
 /* Returns false when a required Host header is missing. */
@@ -134,7 +134,7 @@
 }
 
 static bool
-finish_line (LnRequestScanner *scanner)
+finish_scanned_line (LnRequestScanner *scanner)
 {
   bool is_empty = scanner->length == 0;
 
@@ -187,7 +187,7 @@
     {
       if (scanner->state == REQUEST_LINE)
         scanner->remaining = 0;
-      return finish_line (scanner);
+      return finish_scanned_line (scanner);
     }
   if (c == '\r')
     return true;
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -22,7 +22,8 @@
 #define PUBLISHER_DUTY CATALOG_TABLE
 #define ENDPOINT_PREFIX "e:"
 #define INSTANCE_PREFIX "i:"
-/* Key prefix of a service's row; the row contains the last endpoint key that instances list. */
+/* Key prefix of the rows with a service's bound. Instances that list endpoints themselves list
+ * those of the service up to this endpoint key. */
 #define BOUND_PREFIX "b:"
 /* Duration of one watch request, which also bounds how long a dead connection goes unnoticed. */
 #define WATCH_TIMEOUT (700 * LB_MSEC)
@@ -31,8 +32,9 @@
  * changes of a failed one. */
 #define CATALOG_WRITE_TIMEOUT (500 * LB_MSEC)
 #define MAX_PUBLISHER_CANDIDATES 3
-/* With fewer endpoints than this, listing their rows costs less than watching the catalog: at 2.5
- * lists per second, a list of 12 endpoints takes 16 kB/s, a list of 90 endpoints 114 kB/s. */
+/* The catalog is watched only from this number of endpoints on. Listing the rows of fewer endpoints
+ * costs less: at 2.5 lists per second, a list of 12 endpoints takes 16 kB/s, a list of 90 endpoints
+ * 114 kB/s. */
 #define MIN_ENDPOINTS_TO_FOLLOW 41
 /* From this number of known instances on, the catalog is written less often, since each write
  * causes hundreds of answers to the instances that watch it. */
@@ -65,7 +67,8 @@
                       cached_rank_publisher */
   LbName cached_rank_publisher;
   bool is_rank_cached;
-  LbTime own_list_requested_at; /* when this instance last requested its own endpoint list */
+  LbTime own_list_requested_at; /* when this instance requested the last list that it read from the
+                                   endpoints' rows */
 };
 
 static LbMetric snapshots_received
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -23,8 +23,8 @@
 #define N_PARTITIONS 8
 #define DUTY_PARTITION "duty"
 #define MAX_LISTED_ROWS_PER_PARTITION (LN_FLEET_DIRECTORY_MAX / N_PARTITIONS)
-/* The directory counts as full from this percentage of LN_FLEET_DIRECTORY_MAX instances on, since
- * rows of dead instances occupy the rest. */
+/* The directory (the list of at most LN_FLEET_DIRECTORY_MAX instances) counts as full from this
+ * percentage of the maximum on, since rows of dead instances occupy the rest. */
 #define FULL_DIRECTORY_PERCENT 90
 /* The row of an instance is removed after the instance has been dead for this time; otherwise rows
  * of dead instances would fill the directory. */
@@ -116,12 +116,12 @@
                                            .counter_prefix = "\"renewed_ms\":" };
 
 static void
-init_listing (Listing *listing,
-              LnFleetLists *lists,
-              const char *self,
-              const char *const *prefixes,
-              size_t n_prefixes,
-              int64_t row_limit)
+init_instance_listing (Listing *listing,
+                       LnFleetLists *lists,
+                       const char *self,
+                       const char *const *prefixes,
+                       size_t n_prefixes,
+                       int64_t row_limit)
 {
   listing->lists = lists;
   listing->fleet = lc_fleet_new (self);
@@ -143,9 +143,9 @@
   LB_COPY (lists->self, self);
   lists->on_change = on_change;
   lists->user = user;
-  init_listing (&lists->directory, lists, self, directory_prefixes, N_PARTITIONS,
-                MAX_LISTED_ROWS_PER_PARTITION);
-  init_listing (&lists->on_duty, lists, self, duty_prefixes, 1, 0);
+  init_instance_listing (&lists->directory, lists, self, directory_prefixes, N_PARTITIONS,
+                         MAX_LISTED_ROWS_PER_PARTITION);
+  init_instance_listing (&lists->on_duty, lists, self, duty_prefixes, 1, 0);
   return lists;
 }
 
@@ -244,8 +244,8 @@
     }
 }
 
-/* Uses the list only when all its partitions have been read. If one could not be read, the whole
- * list is requested again. */
+/* Handles the answer for one partition of a list of instances. The list is used only when all its
+ * partitions have been read; if one could not be read, the whole list is requested again. */
 static void
 on_instance_partition_listed (
     LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
--- a/packages/node/src/membership/ln-fleet.c
+++ b/packages/node/src/membership/ln-fleet.c
@@ -168,7 +168,7 @@
 }
 
 static void
-on_fleet_tick (void *user)
+on_fleet_task_tick (void *user)
 {
   Fleet *task = user;
   LbTime now = lb_clock_monotonic ();
@@ -338,14 +338,14 @@
 }
 
 static void
-record_duty_gained_or_lost (Fleet *task, const LnDutyMessage *message, LbTime now)
+update_duty_from_message (Fleet *task, const LnDutyMessage *message, LbTime now)
 {
   task->has_duty[message->duty] = message->held;
   ln_fleet_renewal_set_duty (task->renewal, instance_has_any_duty (task), now);
 }
 
 static void
-receive_fleet_message (LnTask *base, const LnMessage *message)
+receive_message_for_fleet_task (LnTask *base, const LnMessage *message)
 {
   Fleet *task = (Fleet *)base;
 
@@ -355,7 +355,7 @@
       answer_http_exchange (task, ((const LnExchangeMessage *)message)->exchange);
       break;
     case LN_DUTY:
-      record_duty_gained_or_lost (task, (const LnDutyMessage *)message, lb_clock_monotonic ());
+      update_duty_from_message (task, (const LnDutyMessage *)message, lb_clock_monotonic ());
       break;
     case LN_CATALOG_FOLLOWED:
       ln_fleet_lists_set_catalog_followed (task->lists,
@@ -401,7 +401,7 @@
 }
 
 static const LnTaskClass fleet_class = { .name = "peers",
-                                         .receive = receive_fleet_message,
+                                         .receive = receive_message_for_fleet_task,
                                          .drain = drain_fleet_task,
                                          .free = free_fleet_task };
 
@@ -423,8 +423,9 @@
   task->renewal = ln_fleet_renewal_new (context->platform, &task->own_row);
   task->lists
       = ln_fleet_lists_new (context->platform, context->instance, on_instance_lists_changed, task);
-  task->tick
-      = (LnPeriodicCall){ .period = FLEET_TICK_PERIOD, .callback = on_fleet_tick, .user = task };
+  task->tick = (LnPeriodicCall){ .period = FLEET_TICK_PERIOD,
+                                 .callback = on_fleet_task_tick,
+                                 .user = task };
   ln_ticker_add (ln_context_get_ticker (context), &task->tick);
   return &task->task;
 }
--- a/packages/node/src/membership/ln-members.h
+++ b/packages/node/src/membership/ln-members.h
@@ -6,8 +6,8 @@
 
 /* Posts the current members as LN_MEMBERS to all tasks, logs them and sets the gauges. */
 void ln_members_publish (const LcMembership *membership, LnHub *hub);
-/* Adds the increase of the membership's totals since `counted` to the metrics, and sets `counted`
- * to the current totals. */
+/* Adds to the metrics by how much the counts in LcMembershipTotals have grown since `counted`, and
+ * sets `counted` to the current counts. */
 void ln_members_update_counters (const LcMembership *membership, LcMembershipTotals *counted);
 
 #endif
--- a/packages/node/src/membership/ln-peer-connection.c
+++ b/packages/node/src/membership/ln-peer-connection.c
@@ -55,7 +55,7 @@
 }
 
 static bool
-receive_frame (LnPeerConnection *connection, const LwFrame *frame, LbError *error)
+handle_peer_frame (LnPeerConnection *connection, const LwFrame *frame, LbError *error)
 {
   LwMessage message;
   bool ok = true;
@@ -87,7 +87,7 @@
   if (result != LW_FRAME_COMPLETE)
     return result;
   lb_metric_add (&bytes_received, (int64_t)frame.consumed);
-  if (!receive_frame (connection, &frame, error))
+  if (!handle_peer_frame (connection, &frame, error))
     return LW_FRAME_INVALID;
   if (!connection->is_closed)
     evbuffer_drain (input, frame.consumed);
--- a/packages/node/src/membership/ln-peers-private.h
+++ b/packages/node/src/membership/ln-peers-private.h
@@ -33,7 +33,7 @@
   LbTime next_list_at;
   LbTime next_load_at;
   LbTime cpu_time_used;              /* CPU time of the process at the last load measurement */
-  LcMembershipTotals counted_totals; /* totals already added to the counters */
+  LcMembershipTotals counted_totals; /* counts that are already added to the metrics */
 } LnPeers;
 
 /* --- ln-peers-connections.c: the list of connections --- */
--- a/packages/node/src/membership/ln-peers.c
+++ b/packages/node/src/membership/ln-peers.c
@@ -88,7 +88,7 @@
 }
 
 static void
-receive_peers_message (LnTask *task, const LnMessage *message)
+receive_message_for_peers_task (LnTask *task, const LnMessage *message)
 {
   LnPeers *peers = (LnPeers *)task;
 
@@ -131,7 +131,7 @@
 }
 
 static const LnTaskClass peers_class = { .name = "peers",
-                                         .receive = receive_peers_message,
+                                         .receive = receive_message_for_peers_task,
                                          .drain = drain_peers_task,
                                          .free = free_peers_task };
 
