--- a/packages/node/include/ln-dialect.h
+++ b/packages/node/include/ln-dialect.h
@@ -90,9 +90,10 @@
 {
   LN_ORDER_ACCEPTED,
   LN_ORDER_ALREADY_DONE, /* the engine already has the weight version */
-  LN_ORDER_BUSY,         /* another order is in progress, or the order count differs */
-  LN_ORDER_STALE_FENCE,  /* the engine has seen a higher fencing number */
-  LN_ORDER_REFUSED       /* the engine refused the order for another reason */
+  LN_ORDER_BUSY, /* the engine is executing another order, or its order count is not orders_before
+                  */
+  LN_ORDER_STALE_FENCE, /* the engine has seen a higher fencing number */
+  LN_ORDER_REFUSED      /* the engine refused the order for another reason */
 } LnOrderOutcome;
 
 /* What an engine does with its running streams when it loads new weights. */
@@ -112,7 +113,8 @@
   const char *holder; /* instance that holds the lease for weight orders */
   int64_t fence;      /* fencing token of the holder's lease */
   LnSwapMode mode;
-  /* Number of orders accepted by the engine. The engine refuses this order if its count differs. */
+  /* Expected number of orders that the engine has accepted. The engine refuses this order if the
+   * engine's own count differs. */
   int64_t orders_before;
 } LnWeightsOrder;
 
@@ -131,15 +133,17 @@
   bool busy;               /* the engine is carrying out an order */
 } LnEngineState;
 
-/* Duties that call the platform's API. Only one instance performs each duty at a time. */
+/* Kinds of calls to the platform's API for all instances together (duties). Only one instance at a
+ * time makes the calls of each kind. */
 typedef enum
 {
   LN_PLATFORM_USAGE, /* reports the number of requests of each organisation */
   LN_PLATFORM_SCALE, /* sets the number of endpoints of services */
-  LN_PLATFORM_OTHER  /* duty that this node does not perform */
+  LN_PLATFORM_OTHER  /* any other duty that the platform names; this node makes no calls for it */
 } LnPlatformDuty;
 
-/* Holder of a duty's lease, sent with each call of the duty. */
+/* Identifies the only instance that may make the calls of a duty now, the holder of the duty's
+ * lease. Sent with each of these calls. */
 typedef struct
 {
   const char *holder; /* name of the instance */
@@ -168,7 +172,7 @@
 typedef enum
 {
   LN_ROW_OTHER,
-  LN_ROW_DESIRED, /* the desired state: routes and services */
+  LN_ROW_DESIRED, /* the routes and services that the operators want (the desired state) */
   LN_ROW_VERSION  /* the newest weight version of one model */
 } LnOperatorRowKind;
 
@@ -192,7 +196,8 @@
   bool (*is_own_header) (const char *name);
   void (*write_attempt_headers) (const LnAttemptHeaders *headers, LcOutgoingRequest *outgoing);
   LnReplyClass (*classify_reply) (int status, LnHeaderLookup find_header, const void *source);
-  /* False when the reply contains the id of another request. */
+  /* Whether a reply may answer the request `id`: false when the reply contains the id of another
+   * request. */
   bool (*is_reply_to) (const char *id, LnHeaderLookup find_header, const void *source);
   void (*read_load) (LnHeaderLookup find_header, const void *source, LnReportedLoad *load);
   const char *(*read_score) (LnHeaderLookup find_header, const void *source);
--- a/packages/node/include/ln-messages.h
+++ b/packages/node/include/ln-messages.h
@@ -27,18 +27,18 @@
   LN_ENDPOINT_LEAVING,      /* any -> calls: an endpoint is about to stop */
   LN_ENDPOINT_SWAP,         /* config -> calls: a weight change at an endpoint is pending or over */
   LN_MEMBERS,               /* peers -> all: the set or state of live instances changed */
-  LN_FLEET,                 /* peers -> config: complete rows of the instances in LN_MEMBERS */
-  LN_CATALOG_MEMBERS,       /* config -> peers: the instances that the catalog contains */
-  LN_CATALOG_FOLLOWED,      /* config -> peers: whether the members come from the catalog */
+  LN_FLEET,                 /* peers -> config: store rows of the instances in LN_MEMBERS */
+  LN_CATALOG_MEMBERS,       /* config -> peers: instances in the store's table "catalog" */
+  LN_CATALOG_FOLLOWED,      /* config -> peers: whether to use LN_CATALOG_MEMBERS */
   LN_PEER_SEND,             /* any -> peers: send a frame to one or all other instances */
   LN_PEER_FRAME,            /* peers -> task named in the frame: an instance sent a frame */
   LN_DRAINING,              /* main -> all: the process is shutting down */
   LN_DESIRED,               /* config -> all: new routes and services of the shared platform */
-  LN_DESIRED_CONFIRMED,     /* config -> all: the last LN_DESIRED is still the newest */
+  LN_DESIRED_CONFIRMED,     /* config -> all: the last LN_DESIRED is confirmed as newest */
   LN_ENDPOINT_LIST_APPLIED, /* config -> calls: when and by whom the endpoint list was requested */
   LN_ENDPOINT_LISTED,       /* config -> calls: a listed endpoint and its weight version */
-  LN_DEMAND,                /* rollouts -> config, duties: a trainer submitted a batch */
-  LN_DUTY,                  /* rollouts, config -> all: this instance took or lost a duty */
+  LN_DEMAND,                /* rollouts -> config, duties: expected tokens of a new batch */
+  LN_DUTY,                  /* rollouts, config, duties -> all: took or lost an LnDuty */
   LN_REQUEST_STARTED,       /* calls -> duties: an organisation's request started running */
   LN_SERVICE_OVERLOADED,    /* calls -> peers: which service is overloaded has changed */
   LN_READY                  /* config -> all: this instance now accepts or refuses new work */
@@ -113,7 +113,7 @@
 {
   LnMessage base;
   LbName endpoint;
-  char incarnation[40]; /* incarnation of the endpoint; empty: its current one */
+  char incarnation[40]; /* incarnation that is leaving; empty: the endpoint's current incarnation */
   LcLeavingSource source;
   bool withdrawn; /* the platform no longer lists the endpoint as leaving */
 } LnEndpointLeavingMessage;
@@ -248,7 +248,7 @@
 {
   LnMessage base;
   LnDuty duty;
-  bool held; /* this instance took the duty; false: it lost the duty */
+  bool held; /* true: this instance now has the duty; false: this instance lost the duty */
 } LnDutyMessage;
 
 #endif
--- a/packages/node/include/ln-settings.h
+++ b/packages/node/include/ln-settings.h
@@ -72,7 +72,7 @@
   {
     int64_t drain_ms;     /* minimum time to serve callers with cached addresses after SIGTERM */
     int64_t entry_ttl_ms; /* how long callers may cache addresses of instances */
-    int64_t endpoint_ms;  /* maximum time until a leaving endpoint gets no new work */
+    int64_t endpoint_ms;  /* maximum time until an endpoint about to stop gets no work */
   } drain;
   struct
   {
@@ -88,7 +88,7 @@
   struct
   {
     LbName address; /* address of the platform's duty API; empty: the platform has none */
-    LbName *kinds;  /* names of the duties that the platform wants performed */
+    LbName *kinds;  /* duties (calls by one instance for all) that the platform wants */
     size_t n_kinds;
     bool platform_checks_fence; /* the platform rejects calls with an outdated fencing token */
     int64_t usage_window_s;     /* length of the time window of one usage report */
--- a/packages/node/include/ln-stall.h
+++ b/packages/node/include/ln-stall.h
@@ -6,11 +6,11 @@
 struct event_base;
 
 /* Detects a stalled event loop. A handler that never returns leaves the process alive and its
- * connections open while no request is answered. If the instance holds a duty, the next holder
- * handles the same input and stalls as well. The detector records the loop's delay in a histogram
- * and logs long delays. When one iteration uses cpu_limit of processor time, the detector logs the
- * current activity and terminates the process. It measures processor time instead of elapsed time,
- * since a process that was paused or waits for a processor is healthy. */
+ * connections open while no request is answered. If the instance holds a lease, the next
+ * holder handles the same input and stalls as well. The detector records the loop's delay in a
+ * histogram and logs long delays. When one iteration uses cpu_limit of processor time, the detector
+ * logs the current activity and terminates the process. Processor time is measured instead of
+ * elapsed time, since a process that was paused or waits for a processor is healthy. */
 typedef struct LnStallDetector LnStallDetector;
 
 /* Limit of processor time for one iteration of the event loop: 10 to 100 times the longest
--- a/packages/node/src/rollout/ln-pool-controller.c
+++ b/packages/node/src/rollout/ln-pool-controller.c
@@ -154,7 +154,7 @@
 static void execute_lease_actions (LnPoolController *controller, LbList *actions);
 
 static void
-on_lease_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
+on_pool_lease_read (LbErrorCode error, const LpRow *rows, size_t n_rows, void *user)
 {
   LnPoolController *controller = pool_operation_end (user);
   LbList actions;
@@ -168,17 +168,17 @@
 }
 
 static void
-read_lease (LnPoolController *controller)
+read_pool_lease (LnPoolController *controller)
 {
   char key[LEASE_KEY_SIZE];
   LpPlatform *platform = controller->task->context->platform;
 
   snprintf (key, sizeof key, "lease/%s", controller->pool);
-  platform->klass->get (platform, key, on_lease_read, pool_operation_new (controller));
+  platform->klass->get (platform, key, on_pool_lease_read, pool_operation_new (controller));
 }
 
 static void
-on_lease_written (LbErrorCode error, const LpRow *row, void *user)
+on_pool_lease_written (LbErrorCode error, const LpRow *row, void *user)
 {
   (void)row;
   LnPoolController *controller = pool_operation_end (user);
@@ -195,15 +195,15 @@
 }
 
 static void
-write_lease (LnPoolController *controller, const LcLeaseAction *action)
+write_pool_lease (LnPoolController *controller, const LcLeaseAction *action)
 {
   char key[LEASE_KEY_SIZE], token[LEASE_KEY_SIZE * 2];
 
   snprintf (key, sizeof key, "lease/%s", controller->pool);
   snprintf (token, sizeof token, "lease-%s-%s-%llu-%lld", controller->pool, action->row.incarnation,
             (unsigned long long)controller->serial, (long long)action->row.renewal);
-  ln_lease_write_row (controller->task->context->platform, key, token, action, on_lease_written,
-                      pool_operation_new (controller));
+  ln_lease_write_row (controller->task->context->platform, key, token, action,
+                      on_pool_lease_written, pool_operation_new (controller));
 }
 
 static void
@@ -232,10 +232,10 @@
       switch (action->type)
         {
         case LC_LEASE_READ:
-          read_lease (controller);
+          read_pool_lease (controller);
           break;
         case LC_LEASE_WRITE:
-          write_lease (controller, action);
+          write_pool_lease (controller, action);
           break;
         case LC_LEASE_GAINED:
         case LC_LEASE_LOST:
@@ -394,7 +394,7 @@
 }
 
 static void
-tick_weight_roll_out (LnPoolController *controller, LbTime now)
+tick_weight_roll_out_of_pool (LnPoolController *controller, LbTime now)
 {
   LbLink *link;
   LbList actions;
@@ -473,5 +473,5 @@
   for (Engine *engine = controller->engines; engine; engine = engine->hh.next)
     if (!engine->load_request && now >= engine->next_load_request_at)
       request_load_report (engine, now);
-  tick_weight_roll_out (controller, now);
+  tick_weight_roll_out_of_pool (controller, now);
 }
--- a/packages/node/src/rollout/ln-pool-controller.h
+++ b/packages/node/src/rollout/ln-pool-controller.h
@@ -5,9 +5,9 @@
 #include "lc-weights.h"
 #include "ln-config-task.h"
 
-/* Controller of one pool, which every instance has for each pool it knows. Competes for the pool's
- * lease and, while this instance holds the lease, rolls out weight versions to the pool's engines.
- * Does the I/O that LcLease and LcWeights request. */
+/* Controls the weights of one pool of engines: competes for the pool's lease and, while this
+ * instance holds the lease, rolls out weight versions to the engines. Every instance has a
+ * controller for each pool that it knows. Does the I/O that LcLease and LcWeights request. */
 typedef struct
 {
   LbLink link;
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -50,7 +50,7 @@
 } LeaseRankSearch;
 
 static void
-count_if_preferred_for_lease (
+count_instance_if_preferred_for_lease (
     const char *instance, int64_t revision, bool alive, bool draining, void *user)
 {
   (void)revision;
@@ -62,9 +62,9 @@
     search->n_preferred++;
 }
 
-/* Returns the rank of this instance among the candidates for the pool's lease, or -1 if it is no
- * candidate. Rendezvous hashing spreads the pools over the instances, so that only a few instances
- * poll each lease row. */
+/* Returns how many instances may claim the pool's lease before this instance, or -1 if this
+ * instance may not claim it. Rendezvous hashing spreads the pools over the instances, so that only
+ * a few instances poll each lease row. */
 static int
 compute_lease_rank (const LnConfigTask *task, const char *pool)
 {
@@ -72,7 +72,7 @@
 
   if (task->draining)
     return -1;
-  lc_config_visit_instances (task->config, count_if_preferred_for_lease, &search);
+  lc_config_visit_instances (task->config, count_instance_if_preferred_for_lease, &search);
   return search.n_preferred < MAX_LEASE_CANDIDATES_PER_POOL ? search.n_preferred : -1;
 }
 
--- a/packages/node/src/rollout/ln-rollouts-owners.c
+++ b/packages/node/src/rollout/ln-rollouts-owners.c
@@ -189,8 +189,8 @@
 /* --- liveness of owners --- */
 
 /* An owner that is missing from the member list, or listed with another incarnation, counts as
- * dead. If the list is wrong, a step has two owners for a while. The session number in rows and
- * cursors ensures that only one of the two owners delivers samples. */
+ * dead. If the list is wrong, a step has two owners for a while. The number of the claim (session),
+ * in rows and cursors, ensures that only one of the two owners delivers samples. */
 static bool
 is_step_owner_alive (const LnRollouts *rollouts, const LnStepOwner *owner)
 {
--- a/packages/node/src/rollout/ln-rollouts-private.h
+++ b/packages/node/src/rollout/ln-rollouts-private.h
@@ -11,10 +11,10 @@
   LbLink link;
   LnStepKey key;
   LnStepOwner owner;
-  bool is_open;      /* true: this instance owns and serves the step; false: looks up its owner */
-  bool is_durable;   /* the owner row of the step is known to be stored */
-  bool is_claiming;  /* a lookup of the owner or a claim of the step is in progress */
-  bool is_releasing; /* a write that releases the step for another instance is in progress */
+  bool is_open;         /* true: this instance serves the step; false: looks up its owner */
+  bool is_durable;      /* the store has confirmed the row that names the step's owner */
+  bool is_claiming;     /* a lookup of the owner or a claim of the step is in progress */
+  bool is_releasing;    /* a write that releases the step for another instance is in progress */
   int release_attempts; /* number of failed releases */
   char *content;        /* body of the request that opens the step; NULL if none, or once stored */
   LbTime retry_at;      /* time of the next attempt to claim or release the step */
--- a/packages/node/src/rollout/ln-rollouts.c
+++ b/packages/node/src/rollout/ln-rollouts.c
@@ -189,7 +189,7 @@
 }
 
 static void
-receive_rollouts_message (LnTask *task, const LnMessage *message)
+receive_message_for_rollouts_task (LnTask *task, const LnMessage *message)
 {
   LnRollouts *rollouts = (LnRollouts *)task;
 
@@ -280,7 +280,7 @@
 }
 
 static const LnTaskClass rollouts_class = { .name = "rollouts",
-                                            .receive = receive_rollouts_message,
+                                            .receive = receive_message_for_rollouts_task,
                                             .drain = drain_rollouts_task,
                                             .is_idle = is_rollouts_task_idle,
                                             .free = free_rollouts_task };
--- a/packages/node/src/rollout/ln-step-claim.c
+++ b/packages/node/src/rollout/ln-step-claim.c
@@ -90,9 +90,9 @@
          && claim->request.is_owner_alive (owner, claim->request.user);
 }
 
-/* False for a row that names this process under a session that is not open. Such a row is left from
- * a claim whose reply was lost, or from a step that this process closed. The step is then claimed
- * again under a new session. */
+/* Whether the row names this process as the owner, under the session (number of the claim) that is
+ * open here. A row with another session is left from a claim whose reply was lost, or from a step
+ * that this process closed; the step is then claimed again under a new session. */
 static bool
 is_step_owned_and_open_here (const Claim *claim, const LnStepOwner *owner)
 {
--- a/packages/node/src/rollout/ln-step-claim.h
+++ b/packages/node/src/rollout/ln-step-claim.h
@@ -31,9 +31,9 @@
   /* Body of the request that opens the step, used if the step was never opened. If NULL, such a
    * step is reported as LN_STEP_NOT_FOUND. */
   const char *content;
-  uint64_t own_session;              /* session under which this process has the step open, or 0 */
-  const char *incarnation;           /* incarnation of this process */
-  bool may_claim;                    /* false to look up the owner without claiming the step */
+  uint64_t own_session;    /* session number of the step if this process has it open, else 0 */
+  const char *incarnation; /* incarnation of this process */
+  bool may_claim;          /* false to look up the owner without claiming the step */
   LnStepIsOwnerAlive is_owner_alive; /* called only for an owner with another incarnation */
   /* Called once, after ln_step_claim_start has returned; never called if the store is freed. */
   LnStepClaimDone done;
--- a/packages/node/src/rollout/ln-step-samples.c
+++ b/packages/node/src/rollout/ln-step-samples.c
@@ -57,8 +57,9 @@
   return array;
 }
 
-/* Parses the label of a stored sample. Adds its spans with the function that is used for an
- * engine's pieces, so that stored data cannot produce a label that an engine could not. */
+/* Parses the weight versions of a stored sample's tokens (the label). Adds the spans of tokens with
+ * the function that is used for an engine's pieces, so that stored data cannot produce a label that
+ * an engine could not. */
 static LcLabel *
 parse_sample_label (struct json_object *object)
 {
--- a/packages/node/src/rollout/ln-step-store.c
+++ b/packages/node/src/rollout/ln-step-store.c
@@ -10,9 +10,9 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Number of steps per subscription whose rows are kept. The transaction that claims step N deletes
- * the rows of step N - MAX_RETAINED_STEPS_PER_SUBSCRIPTION, which bounds the table without extra
- * writes. */
+/* Number of a trainer's steps whose rows are kept (the table names a trainer by its subscription).
+ * The transaction that claims step N deletes the rows of step N -
+ * MAX_RETAINED_STEPS_PER_SUBSCRIPTION, which bounds the table without extra writes. */
 #define MAX_RETAINED_STEPS_PER_SUBSCRIPTION 64
 
 struct LnStepStore
--- a/packages/node/src/rollout/ln-step-store.h
+++ b/packages/node/src/rollout/ln-step-store.h
@@ -3,9 +3,9 @@
 
 #include "ln-context.h"
 
-/* State of steps that outlives their owners. The platform's table holds the owner row and the
- * ledger row with the trainer's cursor. The object store holds the trainer's request and the
- * samples that an owner stores at its release. */
+/* Stored state of steps, which outlives their owners. The platform's table holds the row that names
+ * a step's owner, and a row (the ledger) with the trainer's cursor. The object store holds the
+ * trainer's request and the samples that an owner stores when it releases the step. */
 typedef struct LnStepStore LnStepStore;
 
 typedef struct
--- a/packages/node/src/store/ln-unwritten-rows.c
+++ b/packages/node/src/store/ln-unwritten-rows.c
@@ -79,7 +79,7 @@
 }
 
 static void
-send_row_write (Row *row)
+send_unwritten_row (Row *row)
 {
   LpPlatform *platform = row->owner->platform;
   const LpPut put = { .key = row->key, .value = row->text };
@@ -117,7 +117,7 @@
   row->token
       = lb_asprintf ("%s#%s-%llu", key, rows->incarnation, (unsigned long long)++rows->n_writes);
   lb_list_append (&rows->rows, &row->link);
-  send_row_write (row);
+  send_unwritten_row (row);
 }
 
 void
@@ -126,6 +126,6 @@
   LB_LIST_FOREACH (&rows->rows, Row, link, row)
   {
     if (!row->is_in_flight)
-      send_row_write (row);
+      send_unwritten_row (row);
   }
 }
