--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -19,8 +19,8 @@
 
 static void find_batch_row_and_dispatch_call (LnBatchCall *call);
 
-/* The caller's organisation has no batch with the id, so looks for a batch with the same id and no
- * organisation. */
+/* Called if the caller's organisation has no batch with the id. Looks for a batch with the same id
+ * and no organisation. */
 static void
 retry_call_without_organisation (LnBatchCall *call)
 {
@@ -34,8 +34,8 @@
   find_batch_row_and_dispatch_call (call);
 }
 
-/* Returns NULL after replying "not found": an ended batch may have been removed while the call
- * waited for the store. */
+/* Returns the batch of the call, or replies "not found" and returns NULL if the batch was removed
+ * while the call waited for the store, as happens to an ended batch. */
 static LnBatch *
 find_batch_or_fail_call (LnBatchCall *call)
 {
--- a/packages/node/src/batch/ln-batch-cleanup.c
+++ b/packages/node/src/batch/ln-batch-cleanup.c
@@ -13,7 +13,8 @@
 /* Maximum number of rows to remove in one transaction. The store accepts 100 entries per
  * transaction, and the condition on the batch's row is one of them. */
 #define MAX_ROWS_PER_REMOVE_TRANSACTION 90
-/* Delay before a failed cleanup is retried. It is long because no batch waits for the space. */
+/* Delay before a failed cleanup is retried. The delay is long because no batch waits for the space
+ * in the store. */
 #define CLEANUP_RETRY_DELAY (10 * LB_SEC)
 /* The live instances are ranked for each batch, and the instance of rank 0 cleans up the batch. An
  * instance of a higher rank waits this long per rank and cleans up only if the batch still exists.
@@ -66,8 +67,8 @@
   ln_batches_remove (batch);
 }
 
-/* Removes the batch's own row after all its other rows: while the row exists, any instance can
- * restart the cleanup. */
+/* Removes the batch's own row. It is the last row to be removed, because any instance can restart
+ * the cleanup while it exists. */
 static void
 remove_batch_row (LnBatch *batch)
 {
--- a/packages/node/src/batch/ln-batch-heads.c
+++ b/packages/node/src/batch/ln-batch-heads.c
@@ -273,8 +273,8 @@
          && strcmp (lc_batch_head_assigned_instance (&batch->head), instance) == 0;
 }
 
-/* Whether no earlier batch in the hash table has the same model and is assigned to the instance. So
- * a model with several batches is counted once. */
+/* Whether the hash table has no earlier batch of the same model that is assigned to the instance.
+ * By this check, a model with several batches is counted once. */
 static bool
 is_first_batch_of_model_on_instance (const LnBatches *batches,
                                      const LnBatch *batch,
@@ -442,8 +442,8 @@
   batch->state = LN_BATCH_NOT_OWNED;
 }
 
-/* Called on shutdown. With the owner cleared from the row, another instance can continue the batch
- * without first detecting that this instance is gone. */
+/* Called on shutdown. Clears the owner from the row, so that another instance can continue the
+ * batch without first detecting that this instance is gone. */
 void
 ln_batch_release_ownership (LnBatch *batch)
 {
@@ -474,8 +474,9 @@
   ln_batch_owner_free_put_strings (puts, n);
 }
 
-/* The offer has a timeout, after which this instance claims the batch itself: the preferred
- * instance may have been killed, and its death may not have been detected yet. */
+/* Offers the batch to the preferred instance. If the offer times out, this instance claims the
+ * batch itself, because the preferred instance may have been killed without its death being
+ * detected yet. */
 bool
 ln_batch_offer_to_preferred_instance (LnBatch *batch, LbTime now)
 {
--- a/packages/node/src/batch/ln-batch-name.h
+++ b/packages/node/src/batch/ln-batch-name.h
@@ -3,9 +3,9 @@
 
 #include "lb-types.h"
 
-/* The name under which a batch is stored: the id that the caller chose, followed by a hash of the
- * caller's organisation. Two organisations can therefore use the same id for different batches, and
- * a batch can be found only with an API key of its organisation. */
+/* This header builds the name under which a batch is stored: the id that the caller chose, followed
+ * by a hash of the caller's organisation. Two organisations can therefore use the same id for
+ * different batches, and a batch can be found only with an API key of its organisation. */
 
 /* Builds the name of a batch. organisation is "" if the batch belongs to no organisation. Returns
  * false if the id is not valid. */
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -45,8 +45,8 @@
   LN_OWNER_GONE
 } LnOwnerState;
 
-/* Steps of the cleanup of an ended batch, in order. Each names what the step removes. The batch's
- * own row is removed after the last step. */
+/* Steps of the cleanup of an ended batch, in order. Each enum value names the rows or the object
+ * that the step removes. The batch's own row is removed after the last step. */
 typedef enum
 {
   LN_CLEANUP_RESULTS,
@@ -62,7 +62,7 @@
   LnBatches *batches;
   LcBatchHead head;
   int64_t version;          /* version of the row; 0 if the row is not known */
-  LcBatchHead pending_head; /* while CLAIMING or RELEASING: the row that is being written */
+  LcBatchHead pending_head; /* the row that is being written while CLAIMING or RELEASING */
   LnBatchState state;
   LcBatch *run; /* state machine of the batch while RUNNING; else NULL */
   LbTime first_seen_at;
@@ -73,8 +73,8 @@
   int64_t owner_row_version;    /* version of the batch's row when owner_state was computed */
   LbTime version_seen_at;       /* when this instance first saw the current version of the row */
   LbTime owner_gone_since;      /* when the owner was first found not alive; 0 if it is alive */
-  LbTime load_retry_at;         /* while LOADING: when to retry a failed load */
-  LbTime offer_expires_at;      /* while OFFERED: when this instance claims the batch itself */
+  LbTime load_retry_at;         /* when to retry a failed load; used while LOADING */
+  LbTime offer_expires_at;      /* when this instance claims the batch itself; used while OFFERED */
   LbTime ended_at;              /* when this instance learned that the batch ended; 0: not ended */
   LbTime cleanup_retry_at;      /* when to retry a failed cleanup */
   LnCleanupStep cleanup_step;   /* current step of the cleanup */
--- a/packages/node/src/calls/ln-call.h
+++ b/packages/node/src/calls/ln-call.h
@@ -21,8 +21,8 @@
   LbLink link; /* in the list LnCall.attempts */
   LnCall *call;
   LnUpstream *upstream;
-  struct evbuffer *text; /* BUFFERED delivery: received text, delivered if this attempt wins */
-  LcPiece *pieces;       /* BUFFERED delivery: received pieces of the text */
+  struct evbuffer *text; /* BUFFERED: received text to deliver if this attempt wins */
+  LcPiece *pieces;       /* received pieces of the text; used for BUFFERED delivery */
   size_t n_pieces;
   LcVersion versions[LN_MAX_WEIGHT_VERSIONS]; /* distinct weight versions of the pieces */
   size_t n_versions;
@@ -48,7 +48,7 @@
   LbLink link;               /* in the list LnCalls.active_calls */
   LnCallKind kind;
   LcRequestSpec spec;
-  LnExchange *exchange; /* NULL: sample or score, caller disconnected, or already replied to */
+  LnExchange *exchange; /* NULL: sample or score, disconnected, or already replied to */
   LbTime submitted_at;
   bool is_submitted; /* LcDispatch has received the call, and ends it by a FINISH action */
   bool has_ticket;   /* the caller can retry by ticket, so the call continues after a disconnect */
@@ -69,12 +69,13 @@
   bool is_usage_counted; /* the call was counted in its organisation's usage */
   bool has_key;
   LcKeyDigest key; /* digest of the API key that the call was admitted with; valid if has_key */
-  LcOutgoingRequest outgoing;     /* on a shared platform: the complete request to endpoints */
-  char *resume_text;              /* text before spec.resume_at, generated earlier; NULL: none */
-  struct evbuffer *sent_text;     /* STREAM delivery: text already delivered */
+  LcOutgoingRequest outgoing; /* on a shared platform: the complete request to endpoints */
+  char *resume_text;          /* text before spec.resume_at, generated earlier; NULL: none */
+  struct evbuffer *sent_text; /* text already delivered to the caller; used for STREAM delivery */
   struct evbuffer *replay_events; /* events already sent, if has_ticket; replayed on a retry */
   LbList attempts;
-  LnAttempt *ended_attempt; /* attempt whose end is being handled, not in attempts; NULL: none */
+  LnAttempt *ended_attempt; /* ended attempt that is being handled and was removed from attempts;
+                               NULL: none */
   void *owner;              /* LnCalls task that runs the call */
 };
 
--- a/packages/node/src/calls/ln-calls-private.h
+++ b/packages/node/src/calls/ln-calls-private.h
@@ -31,7 +31,7 @@
   LnLeaving *leaving;
   LnEndpointChecks *checks;
   LnCrashes *crashes;
-  struct event *dispatch_timer;     /* fires when LcDispatch has its next action */
+  struct event *dispatch_timer;     /* fires when LcDispatch has its next action due */
   LnPeriodicCall periodic_call;     /* sends keep-alives, updates gauges, counts usage */
   LnAdmissionState admission_state; /* routes and organisations of a shared platform */
   LcUtilisation *utilisation;
--- a/packages/node/src/calls/ln-relay.c
+++ b/packages/node/src/calls/ln-relay.c
@@ -240,7 +240,8 @@
   const LnMember *member = find_live_target_instance (relays, target);
   LbError error = { 0 };
 
-  /* A call is relayed only once, since a second relay could start an endless loop. */
+  /* Refuses to relay a call that was relayed already, since a second relay could start an endless
+   * loop. */
   if (!member || ln_exchange_header (exchange, "x-relayed-by"))
     {
       reply_outcome_unknown (exchange, target->instance);
--- a/packages/node/src/calls/ln-routed.c
+++ b/packages/node/src/calls/ln-routed.c
@@ -85,8 +85,8 @@
   return now + timeout;
 }
 
-/* All callers of an organisation form one flow, so that organisations share a service's endpoints
- * fairly. */
+/* Makes all callers of an organisation one flow of fair queueing, so that organisations share a
+ * service's endpoints fairly. */
 static void
 set_call_organisation (LnCall *call, const LcAdmission *admission)
 {
@@ -218,7 +218,8 @@
   return NULL;
 }
 
-/* Under load, calls wait in the queue for seconds and would run although their key was revoked. */
+/* Fails queued calls whose API key was revoked. Otherwise, under load, calls that wait in the queue
+ * for seconds would run although their key was revoked. */
 void
 ln_routed_fail_calls_with_revoked_key (LnCalls *calls)
 {
--- a/packages/node/src/config/ln-config-api.c
+++ b/packages/node/src/config/ln-config-api.c
@@ -286,7 +286,8 @@
 }
 
 /* Answers watches that have ended. While any watch waits, queries the instances with an older
- * revision: an instance reports a new revision only to the instance that sent the revision. */
+ * revision, because an instance reports a new revision only to the instance that sent the
+ * revision. */
 static void
 answer_ended_watches (LnConfigTask *task, LbTime now)
 {
--- a/packages/node/src/config/ln-desired.c
+++ b/packages/node/src/config/ln-desired.c
@@ -245,8 +245,8 @@
 
 static bool must_this_instance_list_endpoints (const DesiredTask *task, LbTime now);
 
-/* Ignores the catalog's list if this instance lists the endpoints itself: a list read from the
- * store also has the weight versions that the engines registered. */
+/* Ignores the endpoint list of the store's table "catalog" if this instance reads the endpoints'
+ * rows itself, because only these rows have the weight versions that the engines registered. */
 static bool
 on_catalog_endpoint_list (const LcRegistration *list, size_t n_list, LbTime valid_at, void *user)
 {
@@ -355,8 +355,8 @@
                                                  : lc_roster_list_period (task->roster);
 }
 
-/* An instance that runs batches or orders weights must list the endpoints itself: it needs the
- * weight versions that the engines registered, which are not in the catalog. */
+/* An instance that runs batches or orders weights must list the endpoints itself, because it needs
+ * the weight versions that the engines registered, and the catalog does not contain them. */
 static bool
 must_this_instance_list_endpoints (const DesiredTask *task, LbTime now)
 {
@@ -430,7 +430,8 @@
   else if (is_listing && now - ln_endpoint_list_get_request_time (task->endpoint_list) > period
            && now >= task->next_list_at && now - task->last_tick_at < MAX_TICK_GAP)
     {
-      /* The store does not answer the list request: the last list of endpoints stays in use. */
+      /* The last list of endpoints stays in use, because the store does not answer the request for
+       * a new one. */
       task->next_list_at = now + period;
       post_weight_version_of_each_endpoint (task);
     }
--- a/packages/node/src/duties/ln-duties.c
+++ b/packages/node/src/duties/ln-duties.c
@@ -176,8 +176,8 @@
   return false;
 }
 
-/* If no duty is configured, the timer is not started: this instance then does not read the lease's
- * row and makes no calls to the platform. */
+/* If neither usage reports nor orders of endpoints are configured, the timer is not started, so
+ * that this instance does not read the lease's row and makes no calls to the platform. */
 LnTask *
 ln_duties_task_new (LnContext *context)
 {
--- a/packages/node/src/duties/ln-lease.c
+++ b/packages/node/src/duties/ln-lease.c
@@ -2,8 +2,9 @@
 
 #include <json-c/json.h>
 
-/* Reports a row that can't be parsed as a failure of the store: the lease would otherwise look
- * free, and this instance might claim it. */
+/* Passes the result of a read of the lease's row to the lease. A row that can't be parsed counts as
+ * a failure of the store, because otherwise the lease would look free and this instance might claim
+ * it. */
 void
 ln_lease_handle_read_result (LcLease *lease,
                              LbErrorCode error,
--- a/packages/node/src/duties/ln-lease.h
+++ b/packages/node/src/duties/ln-lease.h
@@ -4,7 +4,8 @@
 #include "lc-lease.h"
 #include "lp-platform.h"
 
-/* I/O for LcLease, which decides when to read or write the lease's row in the store. */
+/* This header does the I/O for LcLease, which decides when to read or write the lease's row in the
+ * store. */
 
 /* Passes the result of an LC_LEASE_READ to the lease, which appends its next actions to actions. */
 void ln_lease_handle_read_result (LcLease *lease,
--- a/packages/node/src/duties/ln-true-time.h
+++ b/packages/node/src/duties/ln-true-time.h
@@ -4,8 +4,8 @@
 #include "ln-context.h"
 #include "ln-messages.h"
 
-/* Wall-clock time that all instances agree on (true time): the median of their clocks, so that a
- * few wrong clocks do no harm. */
+/* Wall-clock time that all instances agree on (true time). It is the median of the instances'
+ * clocks, so that a few wrong clocks do no harm. */
 typedef struct LnTrueTime LnTrueTime;
 
 LnTrueTime *ln_true_time_new (const LnContext *context);
--- a/packages/node/src/duties/ln-usage-reporter.c
+++ b/packages/node/src/duties/ln-usage-reporter.c
@@ -49,7 +49,7 @@
   size_t n_pending_lists; /* number of list calls in progress */
   bool has_failed;        /* a list call failed */
   LcUsageCounts *counts;  /* sum of the listed rows; NULL unless the action is LC_USAGE_SUM_ROWS */
-  char *text;             /* text of the action: the report's counts as JSON; NULL: none */
+  char *text;             /* counts of the report as JSON; NULL: none */
 } UsageActionInProgress;
 
 static LbMetric metric_sent
@@ -527,7 +527,7 @@
 void
 ln_usage_reporter_tick (LnUsageReporter *reporter, int64_t true_ms, LbTime now)
 {
-  /* true: the platform accepts calls with an outdated fencing token */
+  /* true if the platform accepts calls with an outdated fencing token */
   bool fence_is_unchecked = !reporter->context->settings->duties.platform_checks_fence;
   LcUsageAction action;
 
--- a/packages/node/src/duties/ln-usage-rows.c
+++ b/packages/node/src/duties/ln-usage-rows.c
@@ -98,7 +98,8 @@
   (void)row;
   RowWrite *write = user;
 
-  /* The write may still take effect later: a new key keeps it from replacing a newer row. */
+  /* Later writes use a new key, because this write may still take effect and would then replace a
+   * newer row. */
   if (error == LB_ERROR_STORE_UNKNOWN)
     write->rows->key_generation++;
   if (error != LB_OK)
--- a/packages/node/src/duties/ln-usage-rows.h
+++ b/packages/node/src/duties/ln-usage-rows.h
@@ -5,8 +5,9 @@
 
 #include "lb-error.h"
 
-/* Rows of the store that hold the request counts of each organisation. Normally an incarnation of
- * an instance writes one row per window. The rows are spread over a few partitions. */
+/* This header defines the store's rows with the request counts of each organisation. Normally an
+ * incarnation of an instance writes one row per window. The rows are spread over a few
+ * partitions. */
 
 #define LN_USAGE_N_PARTITIONS 4
 #define LN_USAGE_KEY_SIZE 200
--- a/packages/node/src/endpoints/ln-crash-frame.h
+++ b/packages/node/src/endpoints/ln-crash-frame.h
@@ -16,7 +16,7 @@
   char text[LN_CRASH_TEXT_SIZE]; /* value of the row, JSON */
 } LnCrashFrame;
 
-/* Sends the row to all other instances; does nothing if this instance has no task "peers". */
+/* Sends the row to all other instances; does nothing if this process has no task "peers". */
 void ln_crash_frame_send (LnHub *hub, const char *key, const char *text);
 /* Returns false if the frame does not contain a crash row or is malformed. */
 bool ln_crash_frame_read (const LnPeerMessage *frame, LnCrashFrame *row);
--- a/packages/node/src/front/ln-caller.c
+++ b/packages/node/src/front/ln-caller.c
@@ -15,7 +15,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* evhtp's parser rejects a line with this number of bytes or more. */
+/* evhtp's parser rejects a line of a request that has this number of bytes or more. */
 #define MAX_PARSER_LINE_BYTES 8192
 
 static LbMetric connections
--- a/packages/node/src/membership/ln-catalog.c
+++ b/packages/node/src/membership/ln-catalog.c
@@ -16,8 +16,8 @@
 #include <string.h>
 
 #define CATALOG_TABLE "catalog"
-/* All rows of the catalog are in one partition of the table: each write is one transaction, which
- * also compares the version of the publisher's row. */
+/* All rows of the catalog are in one partition of the table, because each write is one transaction,
+ * which also compares the version of the publisher's row. */
 #define KEY_PREFIX CATALOG_TABLE "/all/"
 #define PUBLISHER_DUTY CATALOG_TABLE
 #define ENDPOINT_PREFIX "e:"
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -37,8 +37,9 @@
  * limits the reading to a few hundred rows per second. */
 #define MIN_LIST_PERIOD (250 * LB_MSEC)
 #define LIST_PERIOD_PER_INSTANCE (8 * LB_MSEC)
-/* Delay before a list that the busy store refused is retried, and its maximum variation between
- * instances: a starting fleet sends more requests than the store accepts. */
+/* Delay before a list that the busy store refused is retried, and the maximum time that is added to
+ * the delay so that it differs between instances. The store is busy when a starting fleet sends
+ * more requests than it accepts. */
 #define BUSY_STORE_RETRY_DELAY (300 * LB_MSEC)
 #define BUSY_STORE_RETRY_SPREAD LB_SEC
 /* Time between two lists of the instances on duty, which are about a dozen. With a renewal every
@@ -57,7 +58,7 @@
   LnRowCache *row_cache;
   size_t n_pending;    /* number of partitions of the list in progress without an answer */
   bool has_begun;      /* a partition of the list in progress has been read */
-  bool has_failed;     /* a partition could not be read: the list in progress is discarded */
+  bool has_failed;     /* a partition could not be read, so the list in progress is discarded */
   LbTime requested_at; /* when the list in progress was requested */
   LbTime next_list_at;
 } Listing;
@@ -280,8 +281,8 @@
   bool changed = lc_fleet_finish_list (listing->fleet, now);
   if (listing == &listing->lists->directory)
     remove_row_of_one_dead_instance (listing, now);
-  /* A list that was requested before this instance began to follow the catalog is not used: the
-   * members come from the catalog now. */
+  /* Ignores a list that was requested before this instance began to take the members from the
+   * catalog, the list of instances that another instance publishes. */
   if (listing->lists->is_followed)
     return;
   merge_members_of_both_lists (listing->lists);
--- a/packages/node/src/membership/ln-fleet-lists.h
+++ b/packages/node/src/membership/ln-fleet-lists.h
@@ -5,10 +5,11 @@
 
 struct LpPlatform;
 
-/* Lists the rows of instances in a shared store. There are two lists: the directory, and the
- * instances on duty (those that run batches or order weights). The second list is read more often,
- * since a failure of its instances has to be detected soon. The directory contains all instances of
- * a small fleet; of a large fleet it contains a sample that prefers machines of high capacity. */
+/* This header lists the rows of instances in a shared store: all rows of the directory, and
+ * those of the instances on duty (that run batches or order weights). The latter are listed more
+ * often, since a failure of these instances has to be detected soon. The directory contains all
+ * instances of a small fleet; of a large fleet it contains a sample that prefers machines of
+ * high capacity. */
 
 /* Maximum number of instances in the directory; instances on duty are listed in addition. */
 #define LN_FLEET_DIRECTORY_MAX 192
--- a/packages/node/src/membership/ln-peers-frames.c
+++ b/packages/node/src/membership/ln-peers-frames.c
@@ -15,8 +15,8 @@
                                                   NULL,
                                                   "Frames dropped before they were sent");
 
-/* Closes the connection if the frame can't be sent: a peer that does not read from it is treated
- * like a peer that sends nothing. */
+/* Sends the frame. Closes the connection if the frame can't be sent, because a peer that does not
+ * read from the connection is treated like a peer that sends nothing. */
 static void
 send_frame_or_close_connection (LnPeers *peers,
                                 LnPeerConnection *connection,
--- a/packages/node/src/membership/ln-peers-private.h
+++ b/packages/node/src/membership/ln-peers-private.h
@@ -11,7 +11,7 @@
 #include <event2/event.h>
 #include <event2/listener.h>
 
-/* State of the task "peers", shared by the files ln-peers-*.c: the task runs the actions of the
+/* State of the task "peers", shared by the files ln-peers-*.c. The task runs the actions of the
  * membership protocol on connections to other instances, and carries frames between tasks of
  * different instances. */
 typedef struct
--- a/packages/node/src/rollout/ln-pool-controller.h
+++ b/packages/node/src/rollout/ln-pool-controller.h
@@ -25,8 +25,8 @@
 } LnPoolController;
 
 /* An operation of the platform in progress: a read or write of the lease row, or a query of the
- * weight store. It may outlive its controller. The task frees the operations that the platform has
- * not answered. */
+ * weight store. The operation may outlive its LnPoolController. The task "config" frees the
+ * operations that the platform has not answered. */
 typedef struct
 {
   LbLink link;
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -282,8 +282,8 @@
     }
 }
 
-/* Handles a newest version that the lease holder announced. Ignores an announcement with an old
- * fencing token: an earlier lease holder may have been paused while sending it. */
+/* Handles the newest weight version that the lease holder announced. Ignores an announcement with
+ * an old fencing token, because an earlier lease holder may have been paused while sending it. */
 static void
 receive_newest_version (LnConfigTask *task, struct json_object *message)
 {
@@ -297,8 +297,8 @@
                                    lb_json_int (message, "cadence_ms", 0) * LB_MSEC);
 }
 
-/* Handles a message from another instance. Returns false if its type is not one of the pool
- * controllers. */
+/* Handles an announcement from another instance. Returns false if the message is of a type that the
+ * pool controllers do not handle. */
 bool
 ln_pool_controllers_receive_announcement (LnConfigTask *task, struct json_object *message)
 {
--- a/packages/node/src/store/ln-platform-call.h
+++ b/packages/node/src/store/ln-platform-call.h
@@ -6,8 +6,8 @@
 #include "ln-context.h"
 #include "ln-dialect.h"
 
-/* Calls to the platform's API for usage reports and orders of endpoints. Each call is sent once,
- * without retries. */
+/* This header sends calls to the platform's API: usage reports and orders of endpoints. Each call
+ * is sent once, without retries. */
 
 /* Called exactly once for each call to the platform, with the call's outcome. */
 typedef void (*LnPlatformCallDone) (LnDutyOutcome outcome, void *user);
--- a/packages/node/src/weights/ln-engine-plans.c
+++ b/packages/node/src/weights/ln-engine-plans.c
@@ -164,7 +164,7 @@
 }
 
 /* Clears this instance's copy of a part of the plan whose write failed, so that the part is written
- * again. Otherwise the row would be outdated until the part changes next. */
+ * again. Otherwise the row would be outdated until the next change of the part. */
 static void
 invalidate_plan_part (LnEnginePlans *plans, size_t index)
 {
--- a/packages/node/src/weights/ln-weight-orders.c
+++ b/packages/node/src/weights/ln-weight-orders.c
@@ -20,7 +20,8 @@
 #define LEASE_DUTY_NAME "weights"
 /* Timeout of an engine's answer to an order or to a query of its state. */
 #define RESPONSE_TIMEOUT (1200 * LB_MSEC)
-/* Several times the time that a single engine takes to load weights. */
+/* Time after which a weight load counts as failed; several times the time that a single engine
+ * takes to load weights. */
 #define LOAD_TIMEOUT (6 * LB_SEC)
 /* Delay before an engine's state is queried after a failed query or order. */
 #define QUERY_RETRY_DELAY (120 * LB_MSEC)
@@ -511,7 +512,8 @@
   return engine->ordered_version != 0 || engine->orders_accepted < 0;
 }
 
-/* Skips the engines if this instance does not hold the lease: there may be hundreds of such
+/* Renews or claims the lease if due, and sends orders and queries to the engines while this
+ * instance holds the lease. Other instances skip the engines, because there may be hundreds of such
  * instances, and this function runs 40 times per second. */
 void
 ln_weight_orders_tick (LnWeightOrders *orders, LbTime now)
