--- a/packages/node/src/batch/ln-batch-calls.c
+++ b/packages/node/src/batch/ln-batch-calls.c
@@ -19,8 +19,8 @@
 
 static void find_batch_row_and_dispatch_call (LnBatchCall *call);
 
-/* The caller's organisation has no batch with the id, so looks for a batch with the same id and no
- * organisation. */
+/* Called if the caller's organisation has no batch with the id. Looks for a batch with the same id
+ * and no organisation. */
 static void
 retry_call_without_organisation (LnBatchCall *call)
 {
@@ -34,8 +34,8 @@
   find_batch_row_and_dispatch_call (call);
 }
 
-/* Returns NULL after replying "not found": an ended batch may have been removed while the call
- * waited for the store. */
+/* Returns the batch of the call, or replies "not found" and returns NULL if the batch was removed
+ * while the call waited for the store, as happens to an ended batch. */
 static LnBatch *
 find_batch_or_fail_call (LnBatchCall *call)
 {
@@ -239,7 +239,7 @@
 }
 
 static void
-end_batch (LnBatchCall *call)
+end_batch_of_call (LnBatchCall *call)
 {
   const LnBatch *batch = find_batch_or_fail_call (call);
   char key[LN_BATCH_KEY_SIZE];
@@ -279,7 +279,7 @@
       read_item_body (call);
       break;
     case LN_BATCH_CALL_END:
-      end_batch (call);
+      end_batch_of_call (call);
       break;
     }
 }
--- a/packages/node/src/batch/ln-batches-private.h
+++ b/packages/node/src/batch/ln-batches-private.h
@@ -45,8 +45,8 @@
   LN_OWNER_GONE
 } LnOwnerState;
 
-/* Steps of the cleanup of an ended batch, in order. Each names what the step removes. The batch's
- * own row is removed after the last step. */
+/* Steps of the cleanup of an ended batch, in order. Each enum value names the rows or the object
+ * that the step removes. The batch's own row is removed after the last step. */
 typedef enum
 {
   LN_CLEANUP_RESULTS,
@@ -62,7 +62,7 @@
   LnBatches *batches;
   LcBatchHead head;
   int64_t version;          /* version of the row; 0 if the row is not known */
-  LcBatchHead pending_head; /* while CLAIMING or RELEASING: the row that is being written */
+  LcBatchHead pending_head; /* the row that is being written while CLAIMING or RELEASING */
   LnBatchState state;
   LcBatch *run; /* state machine of the batch while RUNNING; else NULL */
   LbTime first_seen_at;
@@ -73,8 +73,8 @@
   int64_t owner_row_version;    /* version of the batch's row when owner_state was computed */
   LbTime version_seen_at;       /* when this instance first saw the current version of the row */
   LbTime owner_gone_since;      /* when the owner was first found not alive; 0 if it is alive */
-  LbTime load_retry_at;         /* while LOADING: when to retry a failed load */
-  LbTime offer_expires_at;      /* while OFFERED: when this instance claims the batch itself */
+  LbTime load_retry_at;         /* when to retry a failed load; used while LOADING */
+  LbTime offer_expires_at;      /* when this instance claims the batch itself; used while OFFERED */
   LbTime ended_at;              /* when this instance learned that the batch ended; 0: not ended */
   LbTime cleanup_retry_at;      /* when to retry a failed cleanup */
   LnCleanupStep cleanup_step;   /* current step of the cleanup */
@@ -107,15 +107,15 @@
   LnAdmissionState admission_state; /* routes and organisations for the admission of callers */
   LnMember *members;
   size_t n_members;
-  int64_t members_change_count; /* number of member lists received; 0: members are not known */
+  int64_t members_change_count; /* number of instance lists received; 0: no instances known */
   LnBatch *by_id;               /* hash table of all known batches */
   LnBatch *cleanup_batch; /* ended batch whose rows are being removed; NULL if there is none */
   struct LnModelHistory *model_histories; /* hash table with the model as key */
   LnBatchRequest *requests;               /* hash table of the requests in flight */
   LbList calls;                           /* list of the LnBatchCall in progress */
   LpFollow *row_watch;                    /* watch of the rows of all batches */
-  bool owns_any;                          /* whether this instance owns any batch, as last posted */
-  bool draining;                          /* set while this instance shuts down */
+  bool owns_any; /* last posted LN_DUTY_BATCHES: this instance owns a batch */
+  bool draining; /* set while this instance shuts down */
 };
 
 /* Defined in ln-batches.c, which holds the batches that this instance knows. */
@@ -140,7 +140,8 @@
 void ln_batch_format_all_text_chunks_prefix (const char *id, char *key);
 /* Prefix of the keys of the chunks of the text at one result position. */
 void ln_batch_format_text_chunks_prefix (const char *id, int64_t position, char *key);
-/* Returns the rank of this instance among the candidates for the duty; 0 is the first candidate. */
+/* Returns the rank of this instance among the live instances that may do the work `duty` for the
+ * batch. The instance of rank 0 does the work first. */
 size_t ln_batch_get_rank_of_this_instance (const LnBatch *batch, const char *duty);
 /* Writes rows on the condition that the batch's row still has the version batch->version. */
 void ln_batch_write_rows_if_batch_row_unchanged (const LnBatch *batch,
--- a/packages/node/src/calls/ln-call.h
+++ b/packages/node/src/calls/ln-call.h
@@ -21,8 +21,8 @@
   LbLink link; /* in the list LnCall.attempts */
   LnCall *call;
   LnUpstream *upstream;
-  struct evbuffer *text; /* BUFFERED delivery: received text, delivered if this attempt wins */
-  LcPiece *pieces;       /* BUFFERED delivery: received pieces of the text */
+  struct evbuffer *text; /* BUFFERED: received text to deliver if this attempt wins */
+  LcPiece *pieces;       /* received pieces of the text; used for BUFFERED delivery */
   size_t n_pieces;
   LcVersion versions[LN_MAX_WEIGHT_VERSIONS]; /* distinct weight versions of the pieces */
   size_t n_versions;
@@ -48,10 +48,10 @@
   LbLink link;               /* in the list LnCalls.active_calls */
   LnCallKind kind;
   LcRequestSpec spec;
-  LnExchange *exchange; /* NULL: sample or score, caller disconnected, or already replied to */
+  LnExchange *exchange; /* NULL: sample or score, disconnected, or already replied to */
   LbTime submitted_at;
-  bool is_submitted; /* the call was passed to the dispatch, which ends it by a FINISH action */
-  bool has_ticket;   /* the call continues if the caller disconnects, for a retry with the ticket */
+  bool is_submitted; /* LcDispatch has received the call, and ends it by a FINISH action */
+  bool has_ticket;   /* the caller can retry by ticket, so the call continues after a disconnect */
   bool wants_stream; /* the caller requested a stream of events */
   bool is_stream_started;
   LbTime last_sent_at;      /* when bytes were last sent on the caller's stream */
@@ -69,12 +69,13 @@
   bool is_usage_counted; /* the call was counted in its organisation's usage */
   bool has_key;
   LcKeyDigest key; /* digest of the API key that the call was admitted with; valid if has_key */
-  LcOutgoingRequest outgoing;     /* on a shared platform: the complete request to endpoints */
-  char *resume_text;              /* text before spec.resume_at, generated earlier; NULL: none */
-  struct evbuffer *sent_text;     /* STREAM delivery: text already delivered */
+  LcOutgoingRequest outgoing; /* on a shared platform: the complete request to endpoints */
+  char *resume_text;          /* text before spec.resume_at, generated earlier; NULL: none */
+  struct evbuffer *sent_text; /* text already delivered to the caller; used for STREAM delivery */
   struct evbuffer *replay_events; /* events already sent, if has_ticket; replayed on a retry */
   LbList attempts;
-  LnAttempt *ended_attempt; /* attempt whose end is being handled, not in attempts; NULL: none */
+  LnAttempt *ended_attempt; /* ended attempt that is being handled and was removed from attempts;
+                               NULL: none */
   void *owner;              /* LnCalls task that runs the call */
 };
 
@@ -83,7 +84,8 @@
 bool ln_call_is_for_engine (const LnCall *call);
 /* Path of the engine's API that serves the call. Not used on a shared platform. */
 const char *ln_call_get_engine_path (const LnCall *call);
-/* Fingerprint of the request. Call it before the first attempt, which modifies the body. */
+/* Returns a hash of the request, by which a request that crashes endpoints is recognised. Call the
+ * function before the first attempt, which modifies the body. */
 LcFingerprint ln_call_compute_fingerprint (const LnCall *call);
 /* Formats the JSON body of an attempt that starts at token resume_at; the caller frees it. */
 char *ln_call_format_engine_body (LnCall *call, const char *stream_id, int64_t resume_at);
--- a/packages/node/src/membership/ln-fleet-lists.c
+++ b/packages/node/src/membership/ln-fleet-lists.c
@@ -23,8 +23,8 @@
 #define N_PARTITIONS 8
 #define DUTY_PARTITION "duty"
 #define MAX_LISTED_ROWS_PER_PARTITION (LN_FLEET_DIRECTORY_MAX / N_PARTITIONS)
-/* The directory counts as full from this percentage of LN_FLEET_DIRECTORY_MAX instances on, since
- * rows of dead instances occupy the rest. */
+/* The directory (the list of at most LN_FLEET_DIRECTORY_MAX instances) counts as full from this
+ * percentage of the maximum on, since rows of dead instances occupy the rest. */
 #define FULL_DIRECTORY_PERCENT 90
 /* The row of an instance is removed after the instance has been dead for this time; otherwise rows
  * of dead instances would fill the directory. */
@@ -37,8 +37,9 @@
  * limits the reading to a few hundred rows per second. */
 #define MIN_LIST_PERIOD (250 * LB_MSEC)
 #define LIST_PERIOD_PER_INSTANCE (8 * LB_MSEC)
-/* Delay before a list that the busy store refused is retried, and its maximum variation between
- * instances: a starting fleet sends more requests than the store accepts. */
+/* Delay before a list that the busy store refused is retried, and the maximum time that is added to
+ * the delay so that it differs between instances. The store is busy when a starting fleet sends
+ * more requests than it accepts. */
 #define BUSY_STORE_RETRY_DELAY (300 * LB_MSEC)
 #define BUSY_STORE_RETRY_SPREAD LB_SEC
 /* Time between two lists of the instances on duty, which are about a dozen. With a renewal every
@@ -57,7 +58,7 @@
   LnRowCache *row_cache;
   size_t n_pending;    /* number of partitions of the list in progress without an answer */
   bool has_begun;      /* a partition of the list in progress has been read */
-  bool has_failed;     /* a partition could not be read: the list in progress is discarded */
+  bool has_failed;     /* a partition could not be read, so the list in progress is discarded */
   LbTime requested_at; /* when the list in progress was requested */
   LbTime next_list_at;
 } Listing;
@@ -116,12 +117,12 @@
                                            .counter_prefix = "\"renewed_ms\":" };
 
 static void
-init_listing (Listing *listing,
-              LnFleetLists *lists,
-              const char *self,
-              const char *const *prefixes,
-              size_t n_prefixes,
-              int64_t row_limit)
+init_instance_listing (Listing *listing,
+                       LnFleetLists *lists,
+                       const char *self,
+                       const char *const *prefixes,
+                       size_t n_prefixes,
+                       int64_t row_limit)
 {
   listing->lists = lists;
   listing->fleet = lc_fleet_new (self);
@@ -143,9 +144,9 @@
   LB_COPY (lists->self, self);
   lists->on_change = on_change;
   lists->user = user;
-  init_listing (&lists->directory, lists, self, directory_prefixes, N_PARTITIONS,
-                MAX_LISTED_ROWS_PER_PARTITION);
-  init_listing (&lists->on_duty, lists, self, duty_prefixes, 1, 0);
+  init_instance_listing (&lists->directory, lists, self, directory_prefixes, N_PARTITIONS,
+                         MAX_LISTED_ROWS_PER_PARTITION);
+  init_instance_listing (&lists->on_duty, lists, self, duty_prefixes, 1, 0);
   return lists;
 }
 
@@ -244,8 +245,8 @@
     }
 }
 
-/* Uses the list only when all its partitions have been read. If one could not be read, the whole
- * list is requested again. */
+/* Handles the answer for one partition of a list of instances. The list is used only when all its
+ * partitions have been read; if one could not be read, the whole list is requested again. */
 static void
 on_instance_partition_listed (
     LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
@@ -280,8 +281,8 @@
   bool changed = lc_fleet_finish_list (listing->fleet, now);
   if (listing == &listing->lists->directory)
     remove_row_of_one_dead_instance (listing, now);
-  /* A list that was requested before this instance began to follow the catalog is not used: the
-   * members come from the catalog now. */
+  /* Ignores a list that was requested before this instance began to take the members from the
+   * catalog, the list of instances that another instance publishes. */
   if (listing->lists->is_followed)
     return;
   merge_members_of_both_lists (listing->lists);
--- a/packages/node/src/membership/ln-peers-private.h
+++ b/packages/node/src/membership/ln-peers-private.h
@@ -11,7 +11,7 @@
 #include <event2/event.h>
 #include <event2/listener.h>
 
-/* State of the task "peers", shared by the files ln-peers-*.c: the task runs the actions of the
+/* State of the task "peers", shared by the files ln-peers-*.c. The task runs the actions of the
  * membership protocol on connections to other instances, and carries frames between tasks of
  * different instances. */
 typedef struct
@@ -33,7 +33,7 @@
   LbTime next_list_at;
   LbTime next_load_at;
   LbTime cpu_time_used;              /* CPU time of the process at the last load measurement */
-  LcMembershipTotals counted_totals; /* totals already added to the counters */
+  LcMembershipTotals counted_totals; /* counts that are already added to the metrics */
 } LnPeers;
 
 /* --- ln-peers-connections.c: the list of connections --- */
--- a/packages/node/src/rollout/ln-pool-controllers.c
+++ b/packages/node/src/rollout/ln-pool-controllers.c
@@ -50,7 +50,7 @@
 } LeaseRankSearch;
 
 static void
-count_if_preferred_for_lease (
+count_instance_if_preferred_for_lease (
     const char *instance, int64_t revision, bool alive, bool draining, void *user)
 {
   (void)revision;
@@ -62,9 +62,9 @@
     search->n_preferred++;
 }
 
-/* Returns the rank of this instance among the candidates for the pool's lease, or -1 if it is no
- * candidate. Rendezvous hashing spreads the pools over the instances, so that only a few instances
- * poll each lease row. */
+/* Returns how many instances may claim the pool's lease before this instance, or -1 if this
+ * instance may not claim it. Rendezvous hashing spreads the pools over the instances, so that only
+ * a few instances poll each lease row. */
 static int
 compute_lease_rank (const LnConfigTask *task, const char *pool)
 {
@@ -72,7 +72,7 @@
 
   if (task->draining)
     return -1;
-  lc_config_visit_instances (task->config, count_if_preferred_for_lease, &search);
+  lc_config_visit_instances (task->config, count_instance_if_preferred_for_lease, &search);
   return search.n_preferred < MAX_LEASE_CANDIDATES_PER_POOL ? search.n_preferred : -1;
 }
 
@@ -282,8 +282,8 @@
     }
 }
 
-/* Handles a newest version that the lease holder announced. Ignores an announcement with an old
- * fencing token: an earlier lease holder may have been paused while sending it. */
+/* Handles the newest weight version that the lease holder announced. Ignores an announcement with
+ * an old fencing token, because an earlier lease holder may have been paused while sending it. */
 static void
 receive_newest_version (LnConfigTask *task, struct json_object *message)
 {
@@ -297,8 +297,8 @@
                                    lb_json_int (message, "cadence_ms", 0) * LB_MSEC);
 }
 
-/* Handles a message from another instance. Returns false if its type is not one of the pool
- * controllers. */
+/* Handles an announcement from another instance. Returns false if the message is of a type that the
+ * pool controllers do not handle. */
 bool
 ln_pool_controllers_receive_announcement (LnConfigTask *task, struct json_object *message)
 {
