--- a/packages/base/include/lb-counter.h
+++ b/packages/base/include/lb-counter.h
@@ -34,7 +34,7 @@
 void lb_metric_add (LbMetric *metric, int64_t amount);
 void lb_metric_set (LbMetric *metric, int64_t value);
 
-/* Increments lentilspindle_errors_total for this error code, whose name is the label "type". */
+/* Increments lentilspindle_errors_total; its label "type" is the name of this error code. */
 void lb_metric_count_error (int error_code);
 
 /* Renders all registered metrics in the Prometheus text format; the caller frees the text. */
--- a/packages/base/include/lb-error.h
+++ b/packages/base/include/lb-error.h
@@ -8,7 +8,7 @@
 typedef enum
 {
   LB_OK = 0,
-  /* invalid input; the request did not run */
+  /* group of errors for invalid input; the request did not run */
   LB_ERROR_BAD_REQUEST,
   LB_ERROR_BAD_JSON,
   LB_ERROR_BAD_VALUE,
@@ -29,7 +29,7 @@
   LB_ERROR_BAD_REFERENCE,
   LB_ERROR_UNAUTHORIZED,
   LB_ERROR_CONFLICT,
-  /* rejected before the request was sent to an endpoint; it did not run */
+  /* rejected before any endpoint started the request; the request did not run */
   LB_ERROR_OVERLOADED,
   LB_ERROR_RATE_LIMITED,
   LB_ERROR_NO_ENDPOINT,
@@ -39,7 +39,7 @@
   LB_ERROR_ENDPOINT_REFUSED,
   LB_ERROR_CANCELLED_BEFORE_START,
   LB_ERROR_QUARANTINED, /* identical requests crashed endpoints before */
-  /* failed after the request was sent to an endpoint; it may have run */
+  /* failed after the request was sent to an endpoint; the request may have run */
   LB_ERROR_OUTCOME_UNKNOWN,
   LB_ERROR_STREAM_BROKEN,
   LB_ERROR_DEADLINE,
@@ -53,9 +53,9 @@
   LB_ERROR_CONDITION_FAILED,
   LB_ERROR_NOT_FOUND,
   LB_ERROR_STALE_FENCE,   /* a newer fencing token has been used already */
-  LB_ERROR_STALE_SESSION, /* a newer session has taken over the training step */
+  LB_ERROR_STALE_SESSION, /* another instance has since taken over the training step */
   LB_ERROR_LEASE_HELD,
-  /* errors of frames between instances */
+  /* errors of message frames between instances, and of connections */
   LB_ERROR_FRAME_TOO_LARGE,
   LB_ERROR_FRAME_GARBLED,
   LB_ERROR_FRAME_VERSION,
--- a/packages/base/src/lb-log.c
+++ b/packages/base/src/lb-log.c
@@ -30,11 +30,11 @@
   LbName instance;
   char *buffer; /* NULL: buffering is off, each line is written immediately */
   size_t buffered_bytes;
-  int64_t n_dropped_lines;  /* since the process started */
-  int64_t n_reported_lines; /* dropped lines that a log_lines_dropped event has reported */
+  int64_t n_dropped_lines;  /* lines dropped since the process started */
+  int64_t n_reported_lines; /* dropped lines that log_lines_dropped events have reported */
   int64_t lines_in_second;
   int64_t bytes_in_second;
-  LbTime second; /* second of the monotonic clock that lines_in_second and bytes_in_second count */
+  LbTime second; /* monotonic time in seconds that lines_in_second and bytes_in_second are for */
 } log_state = { .level = LB_LOG_WARNING, .fd = 2 };
 
 /* Sets the lowest level that is logged, the file descriptor to write to (the caller keeps ownership
