--- a/packages/http/src/lh-fetch.c
+++ b/packages/http/src/lh-fetch.c
@@ -31,7 +31,7 @@
   void *user;
   struct event *connect_timer; /* NULL: connected, or no connect timeout */
   bool bytes_handed;           /* at least one byte of the request may have been sent */
-  bool is_starting;            /* true while evhttp_make_request runs */
+  bool is_starting; /* set while evhttp_make_request runs: on_done must not be called yet */
   LbErrorCode failure;
 };
 
@@ -107,9 +107,10 @@
     evbuffer_remove_cb (output, on_output_buffer_changed, fetch);
 }
 
-/* Returns the time that the connection may be idle before its next request; 0: it must not be
- * reused. Bytes left after a response would be parsed as the response to the next request and reach
- * another caller. Some servers wrongly send a body after a HEAD request. */
+/* Returns the time that the connection may be idle before its next request; 0: the connection must
+ * not be reused, for example because unread bytes are left. Bytes left after a response would be
+ * parsed as the response to the next request and reach another caller. Some servers wrongly send a
+ * body after a HEAD request. */
 static LbTime
 get_connection_max_idle_time (const LhFetch *fetch, struct evhttp_request *request)
 {
@@ -129,8 +130,8 @@
   return lh_pool_parse_max_idle_time (evhttp_find_header (headers, "Keep-Alive"));
 }
 
-/* Defers the report of a failed evhttp_make_request to the event loop, since the caller of
- * lh_fetch_start doesn't have the fetch yet. evhttp fails immediately if it can't open a socket,
+/* Defers the report of a failed evhttp_make_request to the event loop, since the caller gets
+ * the fetch only when lh_fetch_start returns. evhttp fails immediately if it can't open a socket,
  * for example because all file descriptors are in use. */
 static void
 defer_start_failure_report (LhFetch *fetch)
--- a/packages/http/src/lh-pool.c
+++ b/packages/http/src/lh-pool.c
@@ -180,8 +180,8 @@
   lh_pool_schedule_connection_close (longest_idle);
 }
 
-/* Keeps the connection only if its last response allows reuse, and no longer than the server does:
- * a request on a connection that the server is closing would fail. */
+/* Keeps the connection only if its last response allows reuse, and no longer than the server does,
+ * because a request on a connection that the server is closing would fail. */
 void
 lh_pool_release_connection (LhConnection *connection, LbTime max_idle_time)
 {
