--- a/packages/wire/include/lw-frame.h
+++ b/packages/wire/include/lw-frame.h
@@ -11,8 +11,8 @@
  * follows as msgpack. */
 #define LW_FRAME_HEADER_BYTES 5
 
-/* Largest accepted body of a frame in bytes, before and after the peer has proved that it knows the
- * cluster key. */
+/* Largest accepted body of a frame in bytes: the first limit applies until the peer has proved that
+ * it knows the cluster key, the second one after that. */
 #define LW_FRAME_MAX_UNAUTHENTICATED_BODY_BYTES ((size_t)4096)
 #define LW_FRAME_MAX_BODY_BYTES ((size_t)8 << 20)
 
--- a/packages/wire/include/lw-handshake.h
+++ b/packages/wire/include/lw-handshake.h
@@ -7,10 +7,10 @@
  * CHALLENGE and PROOF. */
 typedef struct
 {
-  bool is_dialler;     /* this end opened the connection; false: it accepted the connection */
-  bool done;           /* the peer has proved that it knows the cluster key */
-  bool has_challenged; /* this end is the acceptor and has sent its CHALLENGE */
-  char key[128];       /* cluster key, a shared secret */
+  bool is_dialler;               /* this end opened the connection; false: this end accepted it */
+  bool done;                     /* the peer has proved that it knows the cluster key */
+  bool has_challenged;           /* this end has sent a CHALLENGE and expects a PROOF */
+  char key[128];                 /* cluster key, a shared secret */
   uint8_t nonce[LW_NONCE_BYTES]; /* random bytes that this end chose */
   uint8_t peer_nonce[LW_NONCE_BYTES];
   LcInstance self;
--- a/packages/wire/include/lw-message.h
+++ b/packages/wire/include/lw-message.h
@@ -7,17 +7,17 @@
 #define LW_NONCE_BYTES 16
 #define LW_MAC_BYTES 32
 
-/* Types of messages between instances, each with the LwMessage members that it uses. */
+/* Types of messages between instances. In brackets: the LwMessage members that each type sends. */
 typedef enum
 {
-  LW_HELLO = 1, /* the dialler opens the handshake; uses nonce and instance */
-  LW_CHALLENGE, /* the acceptor answers the HELLO; uses nonce, instance and mac */
-  LW_PROOF,     /* the dialler ends the handshake; uses mac */
-  LW_PING,      /* heartbeat; uses digest */
-  LW_PONG,      /* answer to a PING; uses digest */
-  LW_INSTANCES, /* changed states of instances; uses instances */
-  LW_COMPARE,   /* states of all known instances; uses instances (short form) and is_reply */
-  LW_DATA,      /* payload for a topic; uses the members from origin to payload */
+  LW_HELLO = 1, /* first message of the handshake, from the dialler [nonce, instance] */
+  LW_CHALLENGE, /* the acceptor's answer to the HELLO [nonce, instance, mac] */
+  LW_PROOF,     /* last message of the handshake, from the dialler [mac] */
+  LW_PING,      /* heartbeat [digest] */
+  LW_PONG,      /* answer to a PING [digest] */
+  LW_INSTANCES, /* changed states of instances [instances] */
+  LW_COMPARE,   /* short form of all known instances, to find differences [instances, is_reply] */
+  LW_DATA,      /* payload for a topic [origin, and all members after it] */
   LW_N_MESSAGES
 } LwMessageType;
 
@@ -33,7 +33,7 @@
    * name as the only string. */
   LcInstance *instances;
   size_t n_instances;
-  bool is_reply; /* this COMPARE answers the peer's COMPARE and must not be answered */
+  bool is_reply; /* this COMPARE is the answer to another COMPARE, so it gets no answer */
   LbName origin; /* name of the instance that created the DATA message */
   uint64_t origin_epoch;
   uint64_t sequence; /* counts the origin's broadcasts, to detect duplicates */
@@ -47,7 +47,7 @@
 uint8_t *lw_message_encode (const LwMessage *message, size_t *length);
 bool lw_message_decode (const uint8_t *body, size_t length, LwMessage *message, LbError *error);
 void lw_message_clear (LwMessage *message);
-/* Returns the encoding of an instance that the handshake's MAC covers; the caller frees it. */
+/* Encodes an instance for the handshake's MAC, which covers these bytes; the caller frees them. */
 uint8_t *lw_message_encode_instance (const LcInstance *instance, size_t *length);
 
 #endif
--- a/packages/wire/src/lw-handshake.c
+++ b/packages/wire/src/lw-handshake.c
@@ -32,8 +32,8 @@
 }
 
 /* Computes the MAC by which one end, the prover, proves that it knows the cluster key. The MAC
- * covers the prover's role, against reflection of our own proof; both nonces, against replay of a
- * recorded proof; and the prover's instance, against changes to its name or addresses. */
+ * covers the prover's role, against reflection of this end's own proof; both nonces, against replay
+ * of a recorded proof; and the prover's instance, against changes to its name or addresses. */
 static bool
 compute_mac (const LwHandshake *handshake,
              bool by_dialler,
--- a/packages/wire/tests/test-frames.c
+++ b/packages/wire/tests/test-frames.c
@@ -250,9 +250,9 @@
   cr_assert_not (pair.acceptor.done);
 }
 
-/* A peer without the key sends our own proof back to us (reflection), or an attacker on the path
- * changes the address of the instance in a message to redirect frames. The handshake must fail in
- * both cases. */
+/* A peer without the cluster key returns the proof that it received (reflection), or an attacker on
+ * the network path changes the address of the instance in a message to redirect frames. The
+ * handshake must fail in both cases. */
 Test (handshake, reflected_proof_and_altered_instance_are_refused)
 {
   HandshakePair pair;
