--- a/packages/store/include/lp-follow.h
+++ b/packages/store/include/lp-follow.h
@@ -12,7 +12,7 @@
   const char *table;           /* table name; a watch covers the whole table, not only prefixes */
   const char *const *prefixes; /* key prefixes to list; must cover all rows that are needed */
   size_t n_prefixes;
-  LbTime watch_timeout; /* longest watch call; a dead connection is noticed after this time */
+  LbTime watch_timeout; /* longest wait of a watch call, until a dead connection is noticed */
   /* true: first requests all changes since the table was created. On a new table this one call
    * replaces a list call for each prefix. */
   bool tries_history;
@@ -33,11 +33,11 @@
                          void *user);
 void lp_follow_free (LpFollow *follow);
 
-/* Starts the next list or watch if it is due. */
+/* Starts the next list or watch call if one is due. */
 void lp_follow_start_call_if_due (LpFollow *follow, LbTime now);
 /* interval > 0: lists the rows this long after each answer instead of watching the table. This
- * suits an instance that needs the rows only occasionally: a watch delivers each change separately.
- * 0 (default): watches the table. */
+ * suits an instance that needs the rows only occasionally, because a watch would send it each
+ * change separately. 0 (default): watches the table. */
 void lp_follow_set_list_interval (LpFollow *follow, LbTime interval, LbTime now);
 
 /* Sets the minimum time between an answer and the next watch, so that changes within this time
--- a/packages/store/src/lp-client.c
+++ b/packages/store/src/lp-client.c
@@ -16,7 +16,8 @@
 #include <string.h>
 
 #define N_PRIORITIES (LP_PRIORITY_STATUS + 1)
-#define ATTEMPTS_PER_DEADLINE 3 /* a call's deadline divided by the timeout of one attempt */
+/* The timeout of one attempt is the call's deadline divided by this. */
+#define ATTEMPTS_PER_DEADLINE 3
 #define BASE_RETRY_BACKOFF (20 * LB_MSEC)
 #define MAX_RETRY_BACKOFF (500 * LB_MSEC)
 #define MAX_CALLS_IN_FLIGHT 128
@@ -39,7 +40,7 @@
 typedef struct
 {
   LbLink link;
-  LbList *list; /* the LpClient list that has the call; NULL: none */
+  LbList *list; /* the list of LpClient that contains the call; NULL: none */
   LpClient *client;
   char *method;
   char *path;
@@ -47,8 +48,8 @@
   size_t body_length;
   LpPriority priority;
   bool is_write;
-  bool may_be_applied;   /* the call is a write, and an attempt has an unknown outcome */
-  bool was_rate_limited; /* refused by a busy store, or not sent by the deadline */
+  bool may_be_applied; /* an attempt of this write may have been applied: fails as STORE_UNKNOWN */
+  bool was_rate_limited; /* refused by a busy store, or not sent in time: fails as STORE_BUSY */
   bool needs_new_connection;
   int attempts;
   LbTime deadline;
--- a/packages/store/src/lp-follow.c
+++ b/packages/store/src/lp-follow.c
@@ -7,7 +7,7 @@
 #include <event2/util.h>
 #include <stdlib.h>
 
-#define MAX_BACKOFF_DOUBLINGS 4 /* doublings of the retry delay after STORE_BUSY answers */
+#define MAX_BACKOFF_DOUBLINGS 4 /* most doublings of the retry delay after STORE_BUSY answers */
 
 /* Follower of one table. At any time either one watch is in progress, or one list call for each
  * prefix, or no call until next_call_at. */
@@ -26,7 +26,7 @@
   LbTime list_interval; /* time between lists of the rows; 0: the table is watched instead */
   LbTime watch_delay;   /* minimum time between an answer and the next watch */
   bool has_listed;
-  bool has_no_history; /* the store has dropped some of the table's changes */
+  bool has_no_history; /* the store has dropped old changes; a watch can't deliver all rows */
   int busy_refusals;   /* number of consecutive STORE_BUSY answers, at most MAX_BACKOFF_DOUBLINGS */
 };
 
@@ -95,8 +95,8 @@
   follow->has_no_history = true;
 }
 
-/* Receives the list of one prefix. The watch continues from the lowest version of all lists: a
- * change between two lists is then delivered twice instead of being lost. Each list calls
+/* Receives the rows listed for one prefix. The next watch continues from the lowest version of all
+ * lists: a change between two lists is then delivered twice instead of being lost. Each list calls
  * on_snapshot_begin, which is why that callback requires a single prefix. */
 static void
 on_prefix_listed (LbErrorCode error, const LpRow *rows, size_t n_rows, int64_t version, void *user)
--- a/packages/store/src/lp-pacer.c
+++ b/packages/store/src/lp-pacer.c
@@ -15,7 +15,7 @@
 
 /* Number of tokens in the bucket at time now, without changing the bucket. */
 static double
-count_tokens_at (const LpPacer *pacer, LbTime now)
+compute_token_count_at_time (const LpPacer *pacer, LbTime now)
 {
   double tokens = pacer->tokens + (double)(now - pacer->updated_at) / (double)LB_SEC * pacer->rate;
 
@@ -27,7 +27,7 @@
 {
   if (pacer->rate <= 0)
     return true;
-  pacer->tokens = count_tokens_at (pacer, now);
+  pacer->tokens = compute_token_count_at_time (pacer, now);
   pacer->updated_at = now;
   if (pacer->tokens < 1)
     return false;
@@ -42,7 +42,8 @@
 
   if (pacer->rate <= 0)
     return 0;
-  missing = 1 - count_tokens_at (pacer, now);
-  /* Adds a microsecond because the conversion rounds down: the call would be sent too early. */
+  missing = 1 - compute_token_count_at_time (pacer, now);
+  /* Adds a microsecond because the conversion rounds down; otherwise the call would be sent too
+   * early. */
   return missing > 0 ? (LbTime)(missing / pacer->rate * (double)LB_SEC) + 1 : 0;
 }
--- a/packages/store/src/lp-path.c
+++ b/packages/store/src/lp-path.c
@@ -9,7 +9,8 @@
  * calls go through a peer. */
 #define DIRECT_FAILURES_UNTIL_PATH_DOWN 2
 /* Minimum time between probes of a direct path that is down. A longer period delays the use of a
- * recovered path and so the writes of a step's results; each probe costs the store one read. */
+ * recovered path, and so the writes of a training step's results. Each probe costs the store one
+ * read. */
 #define MIN_DIRECT_PROBE_PERIOD (150 * LB_MSEC)
 /* Minimum time between probes for each known peer (at most 64). If none of 350 instances reaches
  * the store, their probes then stay at about 1,400 reads per second. */
--- a/packages/store/src/lp-store.c
+++ b/packages/store/src/lp-store.c
@@ -51,7 +51,7 @@
   size_t capacity;
   int64_t last_version; /* version of the newest applied transaction; 0: none yet */
   Answer *answers;      /* hash table, by transaction token */
-  LbList token_order;   /* the elements of the hash table answers, oldest first */
+  LbList token_order;   /* all kept answers, oldest first */
   Object *objects;
   PoolWeights *weights;
 };
--- a/packages/store/tests/test-follow.c
+++ b/packages/store/tests/test-follow.c
@@ -134,8 +134,8 @@
 }
 
 /* A watch delivers each change of a row that changes several times per second, so an idle instance
- * lists it periodically instead. Once the instance has work, it must watch and receive changes
- * immediately. */
+ * lists the rows periodically instead. Once the instance has work, it must watch and receive
+ * changes immediately. */
 Test (follow, lists_periodically_until_the_interval_is_cleared)
 {
   FakeStore fake = { .platform.klass = &fake_class };
--- a/packages/store/tests/test-http.c
+++ b/packages/store/tests/test-http.c
@@ -261,7 +261,8 @@
   CallResult result;
 
   http_platform_fixture_init (&fixture, 0);
-  /* A slow server allows fewer attempts than the number of failures that opens the breaker. */
+  /* Each attempt of the write times out. The deadline ends the write after too few failures to open
+   * the breaker, so the read-back is still sent. */
   set_store_fault_from_json (&fixture,
                              "{\"mode\": \"slow\", \"ms\": 10000, \"path\": \"/table/transact\"}");
   result = put_row_and_wait (&fixture, "k", "mine!");
