--- a/packages/cli/src/lt-apply.c
+++ b/packages/cli/src/lt-apply.c
@@ -32,7 +32,7 @@
 }
 
 /* Validates the change locally before sending it, so that an error names the operator's file.
- * source_name is the name of the file, or "delete". */
+ * source_name stands for the change in such an error: the file's name, or "delete". */
 static int
 validate_and_send_change (const Options *options,
                           LtClient *client,
--- a/packages/cli/src/lt-bench.c
+++ b/packages/cli/src/lt-bench.c
@@ -25,12 +25,12 @@
   uint64_t seed;
   int64_t n_seeds;
   const char *policy; /* policy to run; NULL: all policies */
-  int64_t n_engines;  /* number of simulated engines; 0: as many as the site has */
+  int64_t n_engines;  /* number of simulated engines; 0: as many as the simulated site has */
   int64_t concurrency;
   double duration_seconds;
-  double idle_weight;  /* weight of idle time, 0 to 1; negative: value of the site's preset */
-  double hedge_budget; /* share of a step's tokens for hedges; negative: simulator's default */
-  double hard_share;   /* share of stragglers from hard prompts; negative: simulator's default */
+  double idle_weight; /* weight of trainer idle time against staleness, 0 to 1; < 0: site's value */
+  double hedge_budget; /* share of a step's tokens that hedges may waste; < 0: default */
+  double hard_share;   /* share of the stragglers that have a hard prompt; < 0: default */
   double train_seconds;
   bool json;
   bool explain;
--- a/packages/cli/src/lt-cost.c
+++ b/packages/cli/src/lt-cost.c
@@ -185,7 +185,7 @@
 /* Measures the time to queue a request and the memory of a queued request. All requests stay queued
  * because no endpoint has loaded min_version of the weights. */
 static void
-measure_waiting_requests (Measurements *measurements)
+measure_request_queueing (Measurements *measurements)
 {
   LcResourceSet *set = make_resource_set (10);
   LcDispatchSettings settings = { .policy = "lentilspindle", .queue_limit = 4096 };
@@ -221,8 +221,8 @@
   lc_resource_set_free (set);
 }
 
-/* State of a training step executed by LcRollouts, which plans its samples, and LcDispatch, which
- * sends their requests to simulated endpoints that answer immediately. */
+/* State of a training step executed by LcRollouts, which plans the step's samples, and LcDispatch,
+ * which sends the samples' requests to simulated endpoints that answer immediately. */
 typedef struct
 {
   LcDispatch *dispatch;
@@ -567,7 +567,7 @@
     measure_routing_decision (measurements, endpoint_counts[i]);
   for (size_t i = 0; i < 3; i++)
     measure_load_report_processing (measurements, endpoint_counts[i]);
-  measure_waiting_requests (measurements);
+  measure_request_queueing (measurements);
   for (size_t i = 0; i < 3; i++)
     measure_training_step (measurements, endpoint_counts[i]);
   for (size_t i = 0; i < 3; i++)
--- a/packages/cli/src/lt-explain.c
+++ b/packages/cli/src/lt-explain.c
@@ -31,7 +31,7 @@
   return code;
 }
 
-/* Prints the timeline of one request, batch or item from the logs of several instances. */
+/* Prints the timeline of one request, batch or batch item from the logs of several instances. */
 int
 lt_run_explain_command (int argc, char **argv)
 {
--- a/packages/cli/src/lt-local-commands.h
+++ b/packages/cli/src/lt-local-commands.h
@@ -1,8 +1,8 @@
 #ifndef LT_LOCAL_COMMANDS_H
 #define LT_LOCAL_COMMANDS_H
 
-/* Run functions of the subcommands that don't connect to an instance: simulations, measurements and
- * log analysis. */
+/* This header declares the subcommands that don't connect to an instance: simulations, measurements
+ * and log analysis. Each function parses argv and returns the exit code. */
 int lt_run_bench_command (int argc, char **argv);
 int lt_run_cost_command (int argc, char **argv);
 int lt_run_replay_command (int argc, char **argv);
--- a/packages/cli/src/lt-operator-commands.h
+++ b/packages/cli/src/lt-operator-commands.h
@@ -1,7 +1,8 @@
 #ifndef LT_OPERATOR_COMMANDS_H
 #define LT_OPERATOR_COMMANDS_H
 
-/* Run functions of the subcommands that call an instance over HTTP. */
+/* This header declares the subcommands that call an instance over HTTP. Each function parses argv
+ * and returns the exit code. */
 int lt_run_apply_command (int argc, char **argv);
 int lt_run_delete_command (int argc, char **argv);
 int lt_run_get_command (int argc, char **argv);
--- a/packages/cli/src/lt-replay.c
+++ b/packages/cli/src/lt-replay.c
@@ -28,7 +28,8 @@
   return passed ? LT_EXIT_OK : LT_EXIT_FAILED;
 }
 
-/* Runs traces and checks their expected outcomes. Returns the highest exit code of all files. */
+/* Runs the traces in the files and checks the outcomes that they expect. Returns the highest exit
+ * code of all files. */
 int
 lt_run_replay_command (int argc, char **argv)
 {
