--- a/standins/si-checked-call.h
+++ b/standins/si-checked-call.h
@@ -20,7 +20,7 @@
   const char *prompt; /* prompt; for a service the request body */
   int64_t max_tokens;
   bool stream;
-  bool vary_length;            /* must be set if the engines run with --vary-length */
+  bool vary_length;            /* must be set if the stand-in engines run with --vary-length */
   const char *caller;          /* header x-caller; NULL: not sent */
   const char *idempotency_key; /* header idempotency-key; NULL: not sent */
   const char *ticket;          /* header x-ticket; NULL: not sent */
--- a/standins/si-control-plane.h
+++ b/standins/si-control-plane.h
@@ -40,7 +40,7 @@
   SiUsageReport reports[SI_MAX_USAGE_REPORTS];
   size_t n_reports;
   SiScaleOrder orders[SI_MAX_SCALE_ORDERS];
-  size_t n_orders; /* number of orders received; only the last SI_MAX_SCALE_ORDERS are kept */
+  size_t n_orders; /* number of scale orders received; only the last SI_MAX_SCALE_ORDERS are kept */
   int calls;
   int conflicting_reports; /* number of reports that differ from the first report of their window */
   int stale_calls;         /* number of calls with an outdated fencing token */
--- a/standins/si-endpoint.h
+++ b/standins/si-endpoint.h
@@ -59,7 +59,7 @@
   SiStreamRecord stream_records[SI_MAX_STREAM_RECORDS];
   size_t n_stream_records;
   int refused_requests;     /* number of requests refused during weight loads */
-  int misdirected_requests; /* number of requests whose Expect-Instance differs from name */
+  int misdirected_requests; /* number of requests whose header Expect-Instance has another id */
   /* Concatenated values of all Tenant headers in the last request. */
   LbName organisation;
   int leaked_keys;           /* number of Api-Key headers received; none may be forwarded */
--- a/standins/si-engine-run.c
+++ b/standins/si-engine-run.c
@@ -23,7 +23,7 @@
   struct evhttp_request *request;
   char *id;
   SiText text;
-  int64_t first_token; /* index of the first token to generate; 0 unless resumed */
+  int64_t first_token; /* index of the first token to generate; 0: the answer is not resumed */
   int64_t next_token;
   int64_t priority;
   bool stream;
--- a/standins/si-engine.h
+++ b/standins/si-engine.h
@@ -11,15 +11,15 @@
   const char *name;
   int64_t version;
   double tokens_per_second; /* token rate of a request that runs alone */
-  double batch_cost;        /* relative increase of the step time per additional request */
-  double prefill_rate;      /* uncached prompt bytes processed per second */
-  int64_t concurrency;      /* maximum number of requests in the batch */
-  int64_t max_waiting;      /* maximum number of requests that wait to enter the batch */
+  double batch_cost;   /* relative increase of the step time per further request in the batch */
+  double prefill_rate; /* uncached prompt bytes processed per second */
+  int64_t concurrency; /* maximum number of requests in the batch */
+  int64_t max_waiting; /* maximum number of requests that wait to enter the batch */
   int64_t cache_blocks;
   LbTime load_time;
   bool checks_fence; /* set: orders with an outdated fencing token are refused */
   bool vary_length;  /* set: answer lengths vary from 1 to max_tokens tokens */
-  uint64_t seed;     /* part of the incarnation id */
+  uint64_t seed;     /* part of SiEngine.incarnation */
 } SiEngineSettings;
 
 typedef struct SiImport SiImport;
@@ -33,7 +33,7 @@
   SiFaults faults;
   SiRunLog log;
   SiCache cache;
-  SiImport *imports; /* KV caches imported for requests that will be resumed here */
+  SiImport *imports; /* KV caches imported for requests that this engine will resume */
   char incarnation[64];
   LbList waiting; /* requests outside the batch, highest priority first */
   LbList running; /* requests in the batch */
--- a/standins/si-table.h
+++ b/standins/si-table.h
@@ -4,8 +4,8 @@
 #include "lp-store.h"
 #include "si-json.h"
 
-/* Functions that apply the platform's JSON table requests to an LpStore. An int result is the HTTP
- * status; the caller owns the reply. */
+/* This header declares functions that apply the platform's JSON table requests to an LpStore. An
+ * int result is the HTTP status. The caller owns the reply. */
 int si_table_transact (LpStore *store, struct json_object *request, struct json_object **reply);
 int si_table_get_row (const LpStore *store, const char *key, struct json_object **reply);
 struct json_object *
--- a/standins/si-tally.h
+++ b/standins/si-tally.h
@@ -20,7 +20,8 @@
 
 void si_tally_init (SiTally *tally);
 void si_tally_clear (SiTally *tally);
-/* Records the final result of a call; endpoints count executions of the call under the same key. */
+/* Records the final result of a call. key: the key under which endpoints count the executions of
+ * this call. */
 void si_tally_add_result (SiTally *tally, const SiCheckedCallResult *result, const char *key);
 bool si_tally_has_no_wrong_or_truncated_answers (const SiTally *tally);
 /* Returns the counts and the latency percentiles; sorts the recorded times. */
--- a/standins/standin-load.c
+++ b/standins/standin-load.c
@@ -17,7 +17,7 @@
 
 typedef struct
 {
-  SiCheckedCallSpec spec; /* copied for each call, which sets its own address, prompt and caller */
+  SiCheckedCallSpec spec; /* copied for each call; address, prompt and caller are set in the copy */
   const char *addresses[MAX_ADDRESSES];
   size_t n_addresses;
   const char *name;
@@ -44,7 +44,7 @@
   LbTime start_time;
 } LoadTest;
 
-/* One call; each retry goes to the next address. */
+/* One call of the load test; each retry goes to the next address. */
 typedef struct
 {
   LoadTest *test;
--- a/standins/standin-trainer.c
+++ b/standins/standin-trainer.c
@@ -49,7 +49,7 @@
   int64_t wrong_staleness;
   int64_t missing_samples;
   int64_t retries;
-  int64_t reposts; /* steps posted again because the instance that owned them ended */
+  int64_t reposts; /* training steps posted again because the instance that ran them ended */
   int64_t staleness_sum;
   int64_t staleness_max;
   /* Number of tokens by weight version modulo MAX_COUNTED_VERSIONS. */
@@ -312,8 +312,8 @@
     si_client_pause (&trainer->client, (LbTime)n * trainer->settings->train_time);
 }
 
-/* Sends one more pull after a reply with `done`: the cursor in this pull acknowledges the last
- * samples. */
+/* Sends one more pull request after a reply with `done`, because the cursor in this request
+ * acknowledges the last samples. */
 static void
 acknowledge_last_samples (Trainer *trainer, const char *path)
 {
