--- a/packages/store/include/lp-platform.h
+++ b/packages/store/include/lp-platform.h
@@ -32,7 +32,7 @@
   size_t n_conditions;
   const LpPut *puts;
   size_t n_puts;
-  /* After an unknown outcome, read the first put's row: finding its value there proves that the
+  /* After an unknown outcome, read the row of the first put: if it has the put's value, the
    * transaction was applied. Only for values that no other transaction writes. */
   bool read_back;
   LbTime timeout; /* longest wait for an answer; 0: the platform's default */
--- a/packages/store/src/lp-http.c
+++ b/packages/store/src/lp-http.c
@@ -200,7 +200,7 @@
 }
 
 static void
-add_put_or_delete (struct json_object *puts, struct json_object *deletes, const LpPut *put)
+add_row_put_or_delete (struct json_object *puts, struct json_object *deletes, const LpPut *put)
 {
   struct json_object *item;
 
@@ -223,7 +223,7 @@
   struct json_object *deletes = json_object_new_array ();
 
   for (size_t i = 0; i < transaction->n_puts; i++)
-    add_put_or_delete (puts, deletes, &transaction->puts[i]);
+    add_row_put_or_delete (puts, deletes, &transaction->puts[i]);
   json_object_object_add (object, "token", json_object_new_string (transaction->token));
   json_object_object_add (object, "conditions", conditions_to_json (transaction));
   json_object_object_add (object, "puts", puts);
@@ -408,7 +408,7 @@
   lp_client_start_call (get_http_client (platform), request, on_object_answer, call);
 }
 
-/* Needs no token: putting the same bytes again changes nothing, so a retry is idempotent. */
+/* The request needs no token, because putting the same bytes again has no effect. */
 static void
 http_put_object (LpPlatform *platform,
                  const char *key,
--- a/packages/store/src/lp-memory.c
+++ b/packages/store/src/lp-memory.c
@@ -68,7 +68,7 @@
 }
 
 static void
-reply_add_row (Reply *reply, const LpRow *row)
+add_row_to_reply (Reply *reply, const LpRow *row)
 {
   reply->rows = lb_realloc (reply->rows, (reply->n_rows + 1) * sizeof (LpRow));
   reply->rows[reply->n_rows++] = (LpRow){ .key = lb_strdup (row->key),
@@ -157,7 +157,7 @@
 
   reply->done.transact = done;
   reply->error = lp_store_transact (memory->store, transaction, &row);
-  reply_add_row (reply, &row);
+  add_row_to_reply (reply, &row);
 }
 
 static void
@@ -169,7 +169,7 @@
 
   reply->done.rows = done;
   if (row)
-    reply_add_row (reply, row);
+    add_row_to_reply (reply, row);
   else
     reply->error = LB_ERROR_NOT_FOUND;
 }
@@ -183,7 +183,7 @@
   reply->done.rows = done;
   for (const LpRow *row = lp_store_find_next_row (memory->store, prefix, NULL); row;
        row = lp_store_find_next_row (memory->store, prefix, row->key))
-    reply_add_row (reply, row);
+    add_row_to_reply (reply, row);
 }
 
 static void
