--- a/standins/si-tally.c
+++ b/standins/si-tally.c
@@ -98,7 +98,7 @@
 }
 
 static void
-add_percentiles (struct json_object *object, const char *key, LbTime *times, size_t n)
+add_time_percentiles (struct json_object *object, const char *key, LbTime *times, size_t n)
 {
   static const struct
   {
@@ -136,8 +136,8 @@
   for (const SiErrorCount *error = tally->errors; error; error = error->hh.next)
     si_json_set_int (errors, error->type, error->count);
   json_object_object_add (object, "errors", errors);
-  add_percentiles (object, "took_ms", tally->durations, tally->n_durations);
-  add_percentiles (object, "first_ms", tally->times_to_first_byte, tally->n_durations);
+  add_time_percentiles (object, "took_ms", tally->durations, tally->n_durations);
+  add_time_percentiles (object, "first_ms", tally->times_to_first_byte, tally->n_durations);
   json_object_object_add (object, "not_run_keys", json_object_get (tally->not_run_keys));
   return object;
 }
