--- a/packages/core/include/lc-admission.h
+++ b/packages/core/include/lc-admission.h
@@ -3,8 +3,8 @@
 
 #include "lc-organisations.h"
 
-/* Decides by the API key whether a call is admitted and for which organisation. Nothing else of the
- * call has been read at that point. No I/O. */
+/* This header declares the admission of calls: decides by the API key whether a call is admitted
+ * and for which organisation. Nothing else of the call has been read at that point. No I/O. */
 
 /* Whether known keys stay valid while this instance can't confirm its list of organisations. */
 typedef struct
--- a/packages/core/include/lc-batch-head.h
+++ b/packages/core/include/lc-batch-head.h
@@ -5,9 +5,9 @@
 
 struct json_object;
 
-/* Row of a batch in the store; it exists if and only if the batch was accepted. A transaction that
- * writes results requires this row to be unchanged, so an owner that has been replaced, or has
- * missed the end of the batch, cannot list further results. */
+/* Row of a batch in the store; the row exists if and only if the batch was accepted. A transaction
+ * that writes results requires this row to be unchanged, so an instance that has been replaced as
+ * owner of the batch, or has missed the end of the batch, cannot store further results. */
 typedef struct
 {
   LbName batch;
--- a/packages/core/include/lc-batch.h
+++ b/packages/core/include/lc-batch.h
@@ -5,13 +5,14 @@
 #include "lc-dispatch.h"
 #include "lc-outgoing.h"
 
-/* State machine of a batch of samples at the instance that owns the batch: generates, scores and
- * retries the items, assigns a position to each result and abandons items that fail permanently. No
- * I/O: commands append actions that the caller carries out. */
+/* This header declares the state machine of a batch of samples at the instance that owns (runs) the
+ * batch. LcBatch generates, scores and retries the items, assigns a position to each result and
+ * abandons items that fail permanently. No I/O: commands append actions that the caller carries
+ * out. */
 
 typedef struct
 {
-  LbName group; /* items of a group share a prompt */
+  LbName group; /* name of the item's group; the items of a group share a prompt */
   LcOutgoingRequest request;
   int64_t prompt_tokens;
   int64_t max_tokens;
@@ -56,9 +57,10 @@
 typedef struct
 {
   const char *item;
-  int64_t restarts;    /* number of times that the text had been discarded and restarted */
-  int64_t first_event; /* index of the part's first event in the text; 0: start of the text */
-  int64_t n_events;    /* number of events in `text`, separated by line feeds */
+  int64_t restarts; /* number of times that the text had been discarded and restarted */
+  /* index in the whole text of the part's first event; 0: the part begins the text */
+  int64_t first_event;
+  int64_t n_events; /* number of events in `text`, separated by line feeds */
   const char *text;
   const LcVersion *versions; /* weight versions that generated the text up to this part's end */
   size_t n_versions;
@@ -69,8 +71,9 @@
   LC_BATCH_GENERATE, /* submit the item's generation request under the id `request` */
   LC_BATCH_SCORE,    /* submit the item's scoring request under the id `request` */
   LC_BATCH_CANCEL,   /* cancel the request with the id `request` */
-  /* Cancel `request`, then call lc_batch_finish_generation with LB_ERROR_CLOSED. Add no piece of
-   * the request after that call: another endpoint continues the text after the last added piece. */
+  /* Cancel the request with the id `request`, so that another endpoint continues the text after the
+   * last piece that was added; then call lc_batch_finish_generation with LB_ERROR_CLOSED. Add no
+   * piece of the request after that call. */
   LC_BATCH_PREEMPT,
   LC_BATCH_WRITE_RESULTS, /* write `results`, then call lc_batch_finish_result_write */
   /* Save `parts`, the events added since the last checkpoint, for the next owner of the batch; then
@@ -85,8 +88,10 @@
   LcRequestId request;
   size_t item_index; /* index into LcBatchSpec.items */
   /* Members set for LC_BATCH_GENERATE. */
-  int64_t resume_at; /* number of events that the text already has */
-  /* endpoint that was too slow for the item, or ""; valid until the batch is next changed */
+  /* number of events that the text already has; the request continues after them */
+  int64_t resume_at;
+  /* endpoint that was too slow for the item and should not get this request, or ""; valid until the
+   * batch is next changed */
   const char *avoid_endpoint;
   int64_t remaining_events; /* estimated number of events still to be generated */
   LbTime due_at;            /* time by which the trainer needs the whole batch */
@@ -95,7 +100,8 @@
   LcBatchTextPart *parts;
   size_t n_parts;
   /* Members set for LC_BATCH_WRITE_RESULTS; valid until lc_batch_finish_result_write. */
-  int64_t first_position; /* position of results[0] */
+  /* position of results[0] among the batch's results; the others follow it */
+  int64_t first_position;
   const LcBatchResult *const *results;
   size_t n_results;
 } LcBatchAction;
@@ -118,7 +124,8 @@
   bool resumable;             /* another endpoint can continue a partial text */
   bool single_version;        /* one weight version must generate the whole text */
   LbTime due_at;              /* time by which the trainer needs the whole batch */
-  LbTime deadline;            /* time to abandon unfinished items; LB_TIME_NEVER: never */
+  /* time at which unfinished items are abandoned; LB_TIME_NEVER: never */
+  LbTime deadline;
   LcRequestId (*next_request_id) (void *user);
   void *user;
 } LcBatchSettings;
@@ -131,11 +138,12 @@
 
 /* Functions that change an LcBatch. They append the actions that the caller must carry out. */
 
-/* Marks an item whose result an earlier owner has already stored. Call before lc_batch_start. */
+/* Marks an item whose result is already in the store, written by an earlier owner of the batch.
+ * Call before lc_batch_start. */
 void lc_batch_mark_item_result_stored (LcBatch *batch, const char *item_id);
 void lc_batch_start (LcBatch *batch, LbTime now, LbList *actions);
-/* Restores part of a text from the checkpoint of an earlier owner. Call before lc_batch_start, with
- * the parts of an item ordered by `restarts`, then `first_event`. */
+/* Restores part of an item's text from the checkpoint of an earlier owner of the batch. Call before
+ * lc_batch_start, with the parts of an item ordered by `restarts`, then `first_event`. */
 void lc_batch_restore_checkpointed_text (LcBatch *batch, const LcBatchTextPart *part);
 /* Adds one event to the text that the request generates. */
 void lc_batch_add_streamed_event (LcBatch *batch,
@@ -153,15 +161,15 @@
                               const char *score,
                               LbTime now,
                               LbList *actions);
-/* Handles the outcome of the write in progress. A failed write is retried with the same results at
- * the same positions. */
+/* Handles the outcome of the result write in progress. A failed write is retried with the same
+ * results at the same positions. */
 void lc_batch_finish_result_write (LcBatch *batch, bool ok, LbTime now, LbList *actions);
 void lc_batch_tick (LcBatch *batch, LbTime now, LbList *actions);
 /* Appends LC_BATCH_CHECKPOINT if any text has enough new events to be worth saving. */
 void lc_batch_begin_checkpoint (LcBatch *batch, LbTime now, LbList *actions);
 void lc_batch_finish_checkpoint (LcBatch *batch, bool ok);
-/* Cancels all requests; afterwards no results are written. Stores the texts of incomplete groups in
- * the text cache for a later batch that requests the groups again. */
+/* Cancels all requests of the batch; afterwards no results are written. Stores the texts of
+ * incomplete groups in the text cache for a later batch that requests the groups again. */
 void lc_batch_stop (LcBatch *batch, LbTime now, LbList *actions);
 
 /* Functions that only read an LcBatch. */
--- a/packages/core/include/lc-catalog.h
+++ b/packages/core/include/lc-catalog.h
@@ -4,14 +4,15 @@
 #include "lb-error.h"
 #include "lb-types.h"
 
-/* Shared listing of endpoints and instances. Endpoints and instances write their rows every one or
- * two seconds; hundreds of instances that each list all rows several times a second would overload
- * the store. So one instance, the publisher, lists the rows and writes what has changed to a table
- * that all others follow. It also rewrites its own row with every listing: that row tells followers
- * how old their snapshot is, and its version is the condition of each of the publisher's writes, so
- * a publisher that has been replaced can write nothing more. When that row stops changing, another
- * instance takes over, and an instance that has seen no change for about a second lists the rows
- * itself. The table holds nothing beyond what the rows themselves say. No I/O. */
+/* This header declares the catalog, a shared table of endpoints and instances. Endpoints and
+ * instances write their rows every one or two seconds; hundreds of instances that each list all
+ * rows several times a second would overload the store. So one instance, the publisher, lists the
+ * rows and writes what has changed to a table that all others follow. It also rewrites its own row
+ * with every listing: that row tells followers how old their snapshot is, and its version is the
+ * condition of each of the publisher's writes, so a publisher that has been replaced can write
+ * nothing more. When that row stops changing, another instance takes over, and an instance that has
+ * seen no change for about a second lists the rows itself. The table holds nothing beyond what the
+ * rows themselves say. No I/O. */
 
 /* Time between two listings by the publisher. A snapshot that is not renewed is used for at most
  * 2.25 periods. Including the listing before the snapshot and the instance's own listing after it,
@@ -28,8 +29,8 @@
 void lc_catalog_free (LcCatalog *catalog);
 
 /* Functions that copy the shared table into an LcCatalog. */
-/* Starts a complete copy of the table: drops all rows held. Each row is then added by
- * lc_catalog_apply_row. */
+/* Starts a complete copy of the shared table: drops all rows that the LcCatalog holds. Each row is
+ * then added by lc_catalog_apply_row. */
 void lc_catalog_begin_snapshot (LcCatalog *catalog);
 /* Applies one changed row of the table. value NULL: the row was deleted. */
 void lc_catalog_apply_row (LcCatalog *catalog, const char *key, const char *value, int64_t version);
@@ -41,8 +42,9 @@
 /* Sets the time between two listings by this instance while it publishes. The time is written to
  * the publisher's row. */
 void lc_catalog_set_listing_period (LcCatalog *catalog, LbTime period);
-/* Sets this instance's position in the order of takeover, not counting the current publisher. 0: it
- * takes over first; negative: it must not publish. */
+/* Sets this instance's position in the order in which instances take over as publisher, not
+ * counting the current publisher. 0: this instance takes over first; negative: it must not
+ * publish. */
 void lc_catalog_set_takeover_rank (LcCatalog *catalog, int rank);
 
 /* One listed endpoint or instance. The key is the list's prefix and the item's name,
--- a/packages/core/include/lc-change.h
+++ b/packages/core/include/lc-change.h
@@ -3,8 +3,8 @@
 
 #include "lc-resources.h"
 
-/* Change request of an operator to the configuration: {"apply": [RESOURCE...], "delete": [{"kind",
- * "name"}]}. */
+/* This header declares the change request of an operator to the configuration: {"apply":
+ * [RESOURCE...], "delete": [{"kind", "name"}]}. */
 
 #define LC_CHANGE_MAX_ITEMS 2000 /* maximum length of the list "apply" and of the list "delete" */
 
--- a/packages/core/include/lc-config.h
+++ b/packages/core/include/lc-config.h
@@ -3,20 +3,23 @@
 
 #include "lc-resources.h"
 
-/* Replication of the configuration between instances. Tracks the active revision of this process,
- * the revisions that its peers report, and whether this instance may accept new work. The store
- * holds the newest resource set and a head row with its revision number. The store confirms the
- * active revision when a read of the head row returns the same number. Without a recent
- * confirmation, an instance may accept work only while a majority of the instances answers it. No
- * I/O: commands append actions (LcConfigAction), which the caller carries out and frees. */
+/* This header declares the replication of the configuration between instances. LcConfig tracks the
+ * active revision of this process, the revisions that its peers report, and whether this instance
+ * may accept new work. The store holds the newest resource set and a head row with its revision
+ * number. The store confirms the active revision when a read of the head row returns the same
+ * number. Without a recent confirmation, an instance may accept work only while a majority of the
+ * instances answers it. No I/O: commands append actions (LcConfigAction), which the caller carries
+ * out and frees. */
 
 typedef enum
 {
-  /* broadcast of an accepted revision; body: the change that led to this revision */
+  /* broadcast of an accepted revision; the body is the change that led to this revision */
   LC_CONFIG_MESSAGE_CHANGE,
-  /* asks a peer for its active revision and the age of that revision's confirmation */
+  /* asks a peer for its active revision and for the time since the store last confirmed a
+   * revision */
   LC_CONFIG_MESSAGE_QUERY,
-  /* reply to QUERY; also sent after a CHANGE, SNAPSHOT or abandoned change */
+  /* states the sender's active revision and its confirmation; reply to QUERY, also sent after a
+   * CHANGE, SNAPSHOT or abandoned change */
   LC_CONFIG_MESSAGE_STATUS,
   LC_CONFIG_MESSAGE_FETCH,   /* requests the whole configuration from a peer */
   LC_CONFIG_MESSAGE_SNAPSHOT /* reply to FETCH; body: the whole configuration */
@@ -29,7 +32,8 @@
   int64_t revision;
   /* QUERY: send time by the sender's clock; STATUS: copied from the QUERY, 0 if there was none */
   LbTime asked_at;
-  /* STATUS: time since the latest known confirmation by the store; -1: none known */
+  /* STATUS: time since the store's latest confirmation of a revision that the sender knows of; -1:
+   * none known */
   LbTime age;
   /* STATUS: the sender's revision is confirmed: the store or a majority has confirmed one since the
    * sender started, and either the store did so recently or no unreachable instance has announced a
@@ -100,7 +104,8 @@
  * for the majority. */
 void lc_config_remove_instance (LcConfig *config, const char *instance);
 /* Handles the result of a read of the store that began at read_at. revision: number in the head
- * row. set: resources of a revision newer than the active one, otherwise NULL; takes ownership. */
+ * row. set: the store's resource set if its revision is newer than the active one, otherwise NULL;
+ * takes ownership of the set. */
 void lc_config_store_read_completed (LcConfig *config,
                                      int64_t revision,
                                      LcResourceSet *set,
@@ -140,12 +145,13 @@
  * received; -1 if none is known. */
 LbTime lc_config_confirmation_age (const LcConfig *config, LbTime now);
 /* Returns true if this instance and the peers that answered a query sent at queried_since or later
- * form a majority of the known instances. Only then may this instance accept a change. */
+ * form a majority of the known instances. Only then may this instance accept a change to the
+ * configuration. */
 bool lc_config_has_answers_of_majority (const LcConfig *config, LbTime queried_since);
-/* Returns true if at least one known instance is not listed as alive by the membership. */
+/* Returns true if at least one known instance is not alive according to the gossip membership. */
 bool lc_config_has_unreachable_members (const LcConfig *config);
 
-/* Number of instances on which one revision is active, and of all instances. */
+/* Number of instances on which a given revision is active, and number of all instances. */
 typedef struct
 {
   size_t active; /* instances on which the revision or a newer one is active */
--- a/packages/core/include/lc-desired.h
+++ b/packages/core/include/lc-desired.h
@@ -4,8 +4,9 @@
 #include "lc-organisations.h"
 #include "lc-resources.h"
 
-/* Desired state: routes and services that the operators of a shared platform declare for the whole
- * deployment. Immutable once built, reference-counted. */
+/* This header declares the desired state: the routes and services that the operators of a shared
+ * platform declare for the whole deployment. The state is immutable once built, and
+ * reference-counted. */
 
 typedef enum
 {
@@ -29,7 +30,8 @@
   LbName host;
   char prefix[128]; /* prefix of the paths that the route serves */
   LcRouteKind kind;
-  LbTime timeout;       /* maximum time of a call; 0: only the call's own deadline applies */
+  /* maximum time of a call on the route; 0: only the deadline that the caller gave applies */
+  LbTime timeout;
   LbTime latency_goal;  /* time within which an answer is worth most to the caller */
   LbTime item_expiry;   /* BATCH: items may be dropped this long after submission; 0: never */
   LbTime due_after;     /* BATCH: all results are due this long after submission */
@@ -45,7 +47,8 @@
 typedef struct
 {
   LbName data_centre;
-  double price; /* price of an endpoint in this data centre, relative to the other data centres */
+  /* price of an endpoint in this data centre, relative to the price in other data centres */
+  double price;
 } LcDataCentrePrice;
 
 #define LC_MAX_DATA_CENTRES 16
@@ -84,11 +87,13 @@
 {
   int references;
   int64_t version;
-  LcRoute *routes; /* sorted by length of the prefix, longest first */
+  LcRoute *routes; /* sorted by length of the path prefix, longest first */
   size_t n_routes;
   LcService *services;
   size_t n_services;
-  LcOrganisations *organisations; /* NULL: none are declared, so no call needs an API key */
+  /* organisations whose API keys are accepted; NULL: none are declared, so no call needs an API
+   * key */
+  LcOrganisations *organisations;
   LcCallerLimits limits;
 } LcDesired;
 
--- a/packages/core/include/lc-dispatch.h
+++ b/packages/core/include/lc-dispatch.h
@@ -4,9 +4,10 @@
 #include "lc-quarantine.h"
 #include "lc-router.h"
 
-/* Handles the requests of this instance from admission to final result: queue, attempts, retries,
- * hedges and streaming. Also decides whether a failure may be reported as "not run". No I/O:
- * commands append actions that the caller carries out. */
+/* This header declares the dispatcher, which handles the requests of this instance from admission
+ * to final result: queue, attempts, retries, hedges and streaming. It also decides whether a
+ * failure may be reported as "not run". No I/O: commands append actions that the caller carries
+ * out. */
 
 #define LC_MAX_PREFIX_HASHES 16
 
@@ -23,17 +24,21 @@
   LcFingerprint content; /* hash of the request's content, by which a quarantine can refuse it */
   LcRequestKind kind;
   LcDelivery delivery;
-  LbName pool;   /* pool or service name */
-  LbName caller; /* client or subscription; each has its own retry budget */
-  /* name of the request's flow in fair queueing, which may combine several callers; empty: the
-   * caller's name is used */
+  LbName pool; /* pool or service name */
+  /* client or trainer's subscription that the request runs for; each caller has its own retry
+   * budget */
+  LbName caller;
+  /* name of the flow (queue of requests that fair queueing serves in turn with others) that the
+   * request belongs to; a flow may combine several callers; empty: the caller's name is used */
   LbName flow;
   double share;    /* weight of the flow in fair queueing among flows of the same kind; 0 means 1 */
   bool repeatable; /* the request may be executed more than once */
   bool resumable;  /* another endpoint may continue a broken stream at its last offset */
-  /* LC_END_FAILED is not retried: the submitter counts such failures itself */
+  /* an attempt that ends with LC_END_FAILED is not retried, because the submitter counts such
+   * failures itself */
   bool failure_is_final;
-  /* maximum number of attempts of the route; 0: only MAX_ATTEMPTS of lc-request.c applies */
+  /* maximum number of attempts, from the request's route; 0: only MAX_ATTEMPTS of lc-request.c
+   * applies */
   int64_t max_attempts;
   /* Time without a piece until a repeatable request is hedged. 0: LcDispatchSettings.hedge_after
    * for live calls, no hedge for others. */
@@ -50,9 +55,12 @@
   size_t n_prefix_hashes;
   LcVersion min_version; /* oldest acceptable weight version; 0: any */
   LbTime deadline;       /* latest end of the answer; LB_TIME_NEVER: none */
-  int64_t resume_at;     /* index of the first token wanted; the submitter has all earlier tokens */
-  LbName avoid[LC_MAX_AVOIDED_ENDPOINTS]; /* excluded endpoints; samples may use them if no other
-                                             endpoint is eligible */
+  /* index of the first token that the endpoint must generate; the submitter has all earlier
+   * tokens */
+  int64_t resume_at;
+  /* endpoints to exclude; a trainer's samples may still be sent to them if no other endpoint is
+   * eligible */
+  LbName avoid[LC_MAX_AVOIDED_ENDPOINTS];
   size_t n_avoid;
 } LcRequestSpec;
 
@@ -61,15 +69,20 @@
 {
   int64_t offset; /* index of the piece's first token in the answer */
   int64_t tokens;
-  LcVersion version;           /* weight version that generated the tokens; 0: not stated */
-  bool last;                   /* the piece carries the explicit end marker */
-  LcVersion kv_reused_version; /* weight version of KV cache reported as reused; 0: none */
+  LcVersion version; /* weight version that generated the tokens; 0: not stated */
+  bool last;         /* the piece carries the explicit end marker */
+  /* version of the weights that computed the KV cache reported as reused for these tokens; 0:
+   * none */
+  LcVersion kv_reused_version;
 } LcPiece;
 
 typedef enum
 {
-  LC_PIECE_FORWARD, /* pass the piece on: forward it (STREAM) or collect it (BUFFERED) */
-  LC_PIECE_DROP /* discard and count the piece: repeated, out of order or of a superseded attempt */
+  /* pass the piece on to the submitter: forward the piece (LC_DELIVER_STREAM) or collect it
+   * (LC_DELIVER_BUFFERED) */
+  LC_PIECE_FORWARD,
+  /* discard and count the piece, because it is repeated, out of order or of a superseded attempt */
+  LC_PIECE_DROP
 } LcPieceVerdict;
 
 /* How an attempt ended, as observed by this instance. */
@@ -86,7 +99,8 @@
 
 typedef enum
 {
-  LC_ACTION_SEND,   /* start the attempt at the endpoint with token resume_at */
+  /* send the request to an endpoint as a new attempt that begins with token resume_at */
+  LC_ACTION_SEND,
   LC_ACTION_CANCEL, /* close the attempt's connection; later events of the attempt are ignored */
   LC_ACTION_FINISH  /* give the submitter the final result, LB_OK or the failure */
 } LcActionType;
--- a/packages/core/include/lc-duty.h
+++ b/packages/core/include/lc-duty.h
@@ -3,9 +3,9 @@
 
 #include "lc-types.h"
 
-/* Assigns a duty (running the batches of a model, or telling engines which weights to load) to one
- * instance. Every instance computes the assignment from the same candidates and gets the same
- * result. No I/O. */
+/* This header declares the assignment of a duty (running the batches of a model, or telling engines
+ * which weights to load) to one instance. Every instance computes the assignment from the same
+ * candidates and gets the same result. No I/O. */
 
 typedef struct
 {
--- a/packages/core/include/lc-endpoints.h
+++ b/packages/core/include/lc-endpoints.h
@@ -8,9 +8,10 @@
 {
   char incarnation[40]; /* changes with each start of the endpoint's process; "": not stated */
   bool leaving;
-  LcVersion version; /* weights being served; 0: a weight swap is in progress or has failed */
-  int64_t running;   /* number of requests being processed */
-  int64_t waiting;   /* number of queued requests */
+  /* weight version that the endpoint serves; 0: a weight swap is in progress or has failed */
+  LcVersion version;
+  int64_t running;          /* number of requests being processed */
+  int64_t waiting;          /* number of queued requests */
   double tokens_per_second; /* token rate of one stream at the current load; 0: unknown */
   double kv_used;           /* share of the KV cache in use, 0..1 */
   LbTime measured_at;       /* time of the measurement, converted to this instance's clock */
@@ -30,17 +31,20 @@
   LcEndpointMember member;
   uint32_t slot; /* index in the endpoint table, stable while the endpoint is known */
   LcLoadReport report;
-  /* Marked as leaving by any source. Cleared by a new incarnation, or when the platform's list
-   * clears a mark that may have been meant for an earlier incarnation. */
+  /* The endpoint is being removed and gets no new requests. Set when any source marks it as
+   * leaving. Cleared by a new incarnation, or when the platform's list clears a mark that may have
+   * been meant for an earlier incarnation. */
   bool leaving;
   LbTime leaving_since;
   bool swap_pending; /* the weights are about to change or their version is unknown */
   LbTime swap_until; /* when the weight swap is expected to be complete */
   int64_t in_flight; /* number of this instance's requests at the endpoint */
   int64_t in_flight_samples;
-  int64_t sent_since_report; /* requests of this instance that the last report does not include */
-  double concurrency_limit;  /* adaptive limit of in_flight */
-  double ewma_token_seconds; /* moving average of a request's duration per token */
+  /* number of this instance's requests to the endpoint that the endpoint's last load report does
+   * not include */
+  int64_t sent_since_report;
+  double concurrency_limit;       /* adaptive limit of in_flight */
+  double ewma_token_seconds;      /* moving average of a request's duration per token */
   double ewma_first_byte_seconds; /* moving average of the time to the first byte */
   LcBreakerState breaker;
   LbTime breaker_open_until;
@@ -65,7 +69,8 @@
 
 /* Functions that change an LcEndpoints table. */
 void lc_endpoints_configure (LcEndpoints *endpoints, const LcResourceSet *set, LbTime now);
-/* A report with a new incarnation clears the leaving mark, the breaker and the cached prefixes. */
+/* Records a load report. A report with a new incarnation clears the leaving mark, the circuit
+ * breaker and the cached prefixes. */
 void lc_endpoints_record_load_report (LcEndpoints *endpoints,
                                       const char *name,
                                       const LcLoadReport *report,
@@ -77,8 +82,8 @@
                                 const char *incarnation,
                                 LcLeavingSource source,
                                 LbTime now);
-/* Called when the platform's list no longer marks the endpoint as leaving. Clears only a mark of
- * the list that may have been meant for an earlier incarnation. */
+/* Called when the platform's list of endpoints no longer marks the endpoint as leaving. Clears the
+ * leaving mark only if this list set it and it may have been meant for an earlier incarnation. */
 void
 lc_endpoints_clear_platform_leaving_mark (LcEndpoints *endpoints, const char *name, LbTime now);
 void lc_endpoints_set_weight_swap_state (
@@ -98,8 +103,8 @@
  * chunk. */
 void
 lc_endpoint_tokens_received (LcEndpoint *endpoint, int64_t tokens, LbTime interval, LbTime now);
-/* ok: false if the endpoint failed. Cancellations by this instance are reported with
- * lc_endpoint_request_cancelled. */
+/* Records the end of a request. ok: false if the endpoint failed. Cancellations by this instance
+ * are reported with lc_endpoint_request_cancelled instead. */
 void lc_endpoint_request_ended (
     LcEndpoint *endpoint, LcRequestKind kind, bool ok, int64_t tokens, LbTime took, LbTime now);
 void lc_endpoint_set_idle_connections (LcEndpoint *endpoint, size_t n_idle, LbTime now);
--- a/packages/core/include/lc-engine-plan.h
+++ b/packages/core/include/lc-engine-plan.h
@@ -5,16 +5,17 @@
 
 struct json_object;
 
-/* Assignment of engines to models, for deployments with several models. The instance that sends the
- * weight-load orders makes the plan, and all other instances read it. An engine that moves to
- * another model must first load that model's newest weights, so engines move only after a lasting
- * change of demand. */
+/* This header declares the engine plan, which assigns engines to models in deployments with several
+ * models. The instance that sends the weight-load orders makes the plan, and all other instances
+ * read it. An engine that moves to another model must first load that model's newest weights, so
+ * engines move only after a lasting change of demand. */
 
 typedef struct
 {
   LbName engine;
   LbName model;
-  /* weight version on the engine, as known to the planning instance; 0: not known */
+  /* version of the weights on the engine, as known to the instance that makes the plan; 0: not
+   * known */
   LcVersion version;
   /* the engine was ordered to load weights and takes no new requests until the load ends */
   bool loading;
@@ -32,7 +33,8 @@
 const LcPlanEntry *lc_engine_plan_find (const LcEnginePlan *plan, const char *engine);
 /* Adds or replaces the entry of an engine; returns true if that changed the plan. */
 bool lc_engine_plan_put (LcEnginePlan *plan, const LcPlanEntry *entry);
-/* Removes the entries of all engines that are not in engines; returns true if it removed any. */
+/* Removes the plan's entries for engines that are not in the array `engines`; returns true if it
+ * removed any. */
 bool
 lc_engine_plan_retain_engines (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines);
 bool lc_engine_plan_is_same (const LcEnginePlan *a, const LcEnginePlan *b);
@@ -40,9 +42,9 @@
 /* The plan is stored in parts, each in its own row of the store, since a row holds only about 800
  * engines. A hash of the engine name chooses the part. */
 #define LC_ENGINE_PLAN_PARTS 16
-/* Copies the entries of the part with this index; the caller clears part. */
+/* Copies the plan's entries of the part with this index to *part, which the caller clears. */
 void lc_engine_plan_copy_part (const LcEnginePlan *plan, size_t index, LcEnginePlan *part);
-/* Builds a plan from all LC_ENGINE_PLAN_PARTS parts; the caller clears plan. */
+/* Builds *plan, which the caller clears, from all LC_ENGINE_PLAN_PARTS parts. */
 void lc_engine_plan_join_parts (const LcEnginePlan *parts, LcEnginePlan *plan);
 struct json_object *lc_engine_plan_to_json (const LcEnginePlan *plan);
 bool lc_engine_plan_from_json (struct json_object *object, LcEnginePlan *plan);
--- a/packages/core/include/lc-entry.h
+++ b/packages/core/include/lc-entry.h
@@ -9,8 +9,8 @@
 /* The instances that a caller should connect to, in order of preference. */
 typedef struct
 {
-  size_t chosen[LC_MAX_ENTRY_ADDRESSES]; /* indexes into the views given to
-                                            lc_entry_choose_instances */
+  /* indexes of the chosen instances in the array of views given to lc_entry_choose_instances */
+  size_t chosen[LC_MAX_ENTRY_ADDRESSES];
   size_t n_chosen;
 } LcEntryChoice;
 
--- a/packages/core/include/lc-fleet.h
+++ b/packages/core/include/lc-fleet.h
@@ -5,8 +5,9 @@
 
 struct json_object;
 
-/* Liveness of instances from rows of a shared store: each instance renews its own row, and one
- * whose row has not changed for too long counts as dead. No I/O. */
+/* This header declares the liveness of instances according to rows of a shared store: each instance
+ * renews its own row, and an instance whose row has not changed for too long counts as dead. No
+ * I/O. */
 
 typedef struct
 {
@@ -18,13 +19,16 @@
   LbName peer_address;
   bool ready;
   bool draining;
-  bool cut;         /* the instance can reach the store only through other instances */
-  int64_t strength; /* capacity of the instance's machine, see lc-duty.h; 0: not reported */
+  bool cut; /* the instance cannot reach the store directly, only through other instances */
+  /* capacity of the instance's machine, as lc_duty_machine_strength computes it; 0: not reported */
+  int64_t strength;
   /* offset of the instance's wall clock from the store's clock; 0: not reported */
   int64_t clock_lead_ms;
-  int64_t renewed_ms; /* store's clock at the renewal, as the instance estimated it; 0: unknown */
-  LbTime period;      /* time between two renewals of the row */
-  /* service whose endpoints known to the instance are nearly full; "": none */
+  /* time at which the row was renewed, by the store's clock as the instance estimated it; 0:
+   * unknown */
+  int64_t renewed_ms;
+  LbTime period; /* time between two renewals of the row */
+  /* service of which the endpoints that the instance knows are nearly full; "": none */
   LbName overloaded_service;
 } LcFleetRow;
 
@@ -34,14 +38,17 @@
 typedef struct
 {
   LcFleetRow row;
-  int64_t version;        /* the store's version of the row */
-  LbTime version_seen_at; /* local time at which this version was first listed; 0: not listed yet */
+  int64_t version; /* the store's version of the row */
+  /* local time at which this version was first read from the store; 0: not read yet */
+  LbTime version_seen_at;
   bool alive;
   bool fresh; /* the instance had missed no renewal at the last listing */
-  /* The instance is known to have renewed its row recently; see lc_fleet_add_row. */
+  /* the instance is known to have renewed its row recently; until then it gets no callers (see
+   * lc_fleet_add_row) */
   bool confirmed;
-  bool is_in_list; /* the instance's row is in the listing that is being read */
-  /* the instance's row is seen for the first time, in the listing that is being read */
+  /* set while a listing of all rows is being read, once the instance's row was found in it */
+  bool is_in_list;
+  /* set while a listing of all rows is being read, if the instance was not known before */
   bool is_new;
 } LcFleetMember;
 
@@ -72,9 +79,10 @@
 bool lc_fleet_finish_list (LcFleet *fleet, LbTime now);
 
 /* Functions that only read an LcFleet. */
-/* Merges the listing of all rows with the listing of rows on duty. Instances that run batches or
- * give weight orders have a second row, the row on duty, which is listed more often. `members` must
- * have room for the members of both listings; returns the number of merged members. */
+/* Merges two listings of instances. Instances that run batches or send the orders to load weights
+ * have a second row, their "row on duty", which is listed more often. all: listing of the rows of
+ * all instances; on_duty: listing of the rows on duty. `members` must have room for the members of
+ * both; returns the number of merged members. */
 size_t lc_fleet_merge_members (const LcFleet *all, const LcFleet *on_duty, LcFleetMember *members);
 size_t lc_fleet_count_members (const LcFleet *fleet);
 const LcFleetMember *lc_fleet_member_at (const LcFleet *fleet, size_t index);
--- a/packages/core/include/lc-lease.h
+++ b/packages/core/include/lc-lease.h
@@ -5,11 +5,11 @@
 
 struct json_object;
 
-/* Exclusive lease over one row of a table with conditional writes, for work that only one instance
- * may do at a time, for example sending orders to the engines of a pool, such as the order to load
- * a weight version. No I/O: functions that change the lease append actions that the caller carries
- * out; every READ and WRITE is answered exactly once by lc_lease_read_completed or
- * lc_lease_write_completed. */
+/* This header declares an exclusive lease over one row of a table with conditional writes, for work
+ * that only one instance may do at a time, for example sending orders to the engines of a pool,
+ * such as the order to load a weight version. No I/O: functions that change the lease append
+ * actions that the caller carries out; every READ and WRITE is answered exactly once by
+ * lc_lease_read_completed or lc_lease_write_completed. */
 
 /* Value of the table row that stores the lease. */
 typedef struct
@@ -64,8 +64,8 @@
 void lc_lease_free (LcLease *lease);
 
 /* Functions that change an LcLease. */
-/* Sets this instance's position among the candidates. 0: it claims the lease first; negative: it
- * does not claim the lease. */
+/* Sets this instance's position in the order in which instances claim the lease. 0: this instance
+ * claims first; negative: this instance does not claim the lease. */
 void lc_lease_set_claim_rank (LcLease *lease, int rank);
 /* Does the periodic work: detects pauses, expires the lease and starts reads. wall: wall clock in
  * microseconds; only its jumps relative to now are used. */
@@ -95,7 +95,8 @@
   bool endpoints_check_fence; /* every endpoint refuses orders with an old fencing token */
 } LcLeaseHolderView;
 
-/* Makes the next tick read the row, since another instance reported that it released the lease. */
+/* Makes the next tick read the lease's row, because another instance reported that it released the
+ * lease. */
 void lc_lease_request_read (LcLease *lease, LbTime now);
 
 /* Functions that only read an LcLease. */
@@ -104,7 +105,8 @@
 bool lc_lease_allows_order (const LcLease *lease, bool can_order_unfenced, LbTime now);
 int64_t lc_lease_fencing_token (const LcLease *lease);
 bool lc_lease_is_held (const LcLease *lease);
-/* The rank set by lc_lease_set_claim_rank; negative: this instance does not claim the lease. */
+/* Returns this instance's position in the order of claims, set by lc_lease_set_claim_rank;
+ * negative: this instance does not claim the lease. */
 int lc_lease_claim_rank (const LcLease *lease);
 /* Whether nothing is left to release: this instance does not hold the lease, and the lease's row is
  * released, has expired or names another holder. */
--- a/packages/core/include/lc-membership.h
+++ b/packages/core/include/lc-membership.h
@@ -3,11 +3,11 @@
 
 #include "lc-instance.h"
 
-/* Gossip membership: which instances are alive, as seen by one instance. Each instance watches its
- * successors on a few rings (the members ordered by a hash, with another hash for each ring), so
- * that the cost does not grow with the number of members; changes are broadcast over all open
- * connections. The caller owns the connections: LcMembership requests them through actions and is
- * notified of what happens to them. */
+/* This header declares the gossip membership: which instances are alive, as seen by one instance.
+ * Each instance watches its successors on a few rings (the members ordered by a hash, with another
+ * hash for each ring), so that the cost does not grow with the number of members; changes are
+ * broadcast over all open connections. The caller owns the connections: LcMembership requests them
+ * through actions and is notified of what happens to them. */
 typedef struct LcMembership LcMembership;
 
 /* Identifies a connection while it is open or being opened; 0: no connection. */
@@ -26,13 +26,15 @@
 
 typedef enum
 {
-  LC_MEMBERSHIP_DIAL,      /* open a connection; uses link and address */
-  LC_MEMBERSHIP_CLOSE,     /* close a connection; uses link and reason */
-  LC_MEMBERSHIP_PING,      /* send a heartbeat; uses link and digest */
-  LC_MEMBERSHIP_BROADCAST, /* send instances on all open connections except link */
-  LC_MEMBERSHIP_SEND,      /* send instances on link only */
-  LC_MEMBERSHIP_COMPARE,   /* send name, epoch, version and state of each instance on link */
-  LC_MEMBERSHIP_CHANGED    /* this instance's view of the members changed */
+  LC_MEMBERSHIP_DIAL,      /* open a connection to `address`, identified by `link` from then on */
+  LC_MEMBERSHIP_CLOSE,     /* close the connection `link`, for the reason `reason` */
+  LC_MEMBERSHIP_PING,      /* send a heartbeat with `digest` on the connection `link` */
+  LC_MEMBERSHIP_BROADCAST, /* send `instances` on all open connections except `link` */
+  LC_MEMBERSHIP_SEND,      /* send `instances` on the connection `link` only */
+  /* send name, epoch, version and state of each of `instances` on the connection `link`, for
+   * comparison with the peer's view */
+  LC_MEMBERSHIP_COMPARE,
+  LC_MEMBERSHIP_CHANGED /* this instance's view of the members changed */
 } LcMembershipActionType;
 
 /* An action that the caller must carry out. A heartbeat (PING) carries only a digest of the view,
@@ -68,7 +70,7 @@
   int64_t suspected;
   int64_t declared_dead;
   int64_t refuted;    /* suspicions that the suspected instance refuted */
-  int64_t own_pauses; /* detected pauses of this process */
+  int64_t own_pauses; /* pauses of this process itself that it detected */
   int64_t name_conflicts;
 } LcMembershipTotals;
 
@@ -116,16 +118,16 @@
                                     uint64_t digest,
                                     LbTime now);
 /* Applies instance states sent by a peer. An entry without peer_address is in short form: it also
- * lacks incarnation, data centre and caller address, and only updates an instance whose epoch is
- * already known. */
+ * lacks the incarnation, the data centre and the address for callers, and only updates an instance
+ * whose epoch is already known. */
 void lc_membership_updates_received (LcMembership *membership,
                                      LcLinkId link,
                                      const LcInstance *instances,
                                      size_t n_instances,
                                      LbTime now,
                                      LbList *actions);
-/* Merges a peer's summary of its whole view. Replies by SEND with the instances whose state is
- * newer in this instance's view, and by COMPARE if the peer has newer ones. */
+/* Merges a peer's summary of its whole view. Sends the instances whose state is newer in this
+ * instance's view (action SEND), and asks for newer ones that the peer has (action COMPARE). */
 void lc_membership_summary_received (LcMembership *membership,
                                      LcLinkId link,
                                      const LcInstance *instances,
@@ -138,7 +140,7 @@
 bool lc_membership_keep_connected (
     LcMembership *membership, const char *name, LbTime until, LbTime now, LbList *actions);
 void lc_membership_mark_self_draining (LcMembership *membership, LbTime now, LbList *actions);
-/* load: processor use per mille; published in steps and at a limited rate. */
+/* load: processor use of this instance per mille; published in steps and at a limited rate. */
 void
 lc_membership_set_self_load (LcMembership *membership, int64_t load, LbTime now, LbList *actions);
 void lc_membership_tick (LcMembership *membership, LbTime now, LbList *actions);
--- a/packages/core/include/lc-organisations.h
+++ b/packages/core/include/lc-organisations.h
@@ -3,9 +3,9 @@
 
 #include "lb-error.h"
 
-/* Organisations and the API keys that identify them as callers. Only digests of keys are stored,
- * so that no log, core dump or stored row reveals a key. The table is filled once and then only
- * read. */
+/* This header declares the table of organisations and of the API keys that identify them as
+ * callers. Only digests of keys are stored, so that no log, core dump or stored row reveals a key.
+ * The table is filled once and then only read. */
 
 #define LC_KEY_DIGEST_SIZE 32
 
@@ -17,7 +17,8 @@
 /* Size, with the NUL, of a key's id in logs: the first eight hexadecimal digits of its digest. */
 #define LC_KEY_LOG_ID_SIZE 9
 
-/* Returns false if OpenSSL fails, which happens only when memory runs out. */
+/* Computes the digest of an API key. Returns false if OpenSSL fails, which happens only when memory
+ * runs out. */
 bool lc_key_compute_digest (const char *key, LcKeyDigest *digest);
 void lc_key_format_log_id (const LcKeyDigest *digest, char log_id[LC_KEY_LOG_ID_SIZE]);
 /* Size, with the NUL, of a digest as 64 hexadecimal digits. */
@@ -28,7 +29,8 @@
 typedef struct
 {
   LbName name;
-  int priority; /* requests with a larger value go first; overrides the route's priority */
+  /* requests of organisations with a larger value go first; overrides the route's priority */
+  int priority;
 } LcOrganisation;
 
 typedef struct LcOrganisations LcOrganisations;
--- a/packages/core/include/lc-quarantine.h
+++ b/packages/core/include/lc-quarantine.h
@@ -4,9 +4,10 @@
 #include "lc-fingerprint.h"
 #include "lc-types.h"
 
-/* Quarantine of requests that were in flight in several crashes of endpoints. It is computed from
- * the crash reports of all instances. No I/O; the outcome depends on the set of reports alone, not
- * on their order, so that all instances refuse the same requests. */
+/* This header declares the quarantine of requests that were in flight in several crashes of
+ * endpoints. The quarantine is computed from the crash reports of all instances. No I/O; the
+ * outcome depends on the set of reports alone, not on their order, so that all instances refuse the
+ * same requests. */
 typedef struct LcQuarantine LcQuarantine;
 
 #define LC_CRASH_REPORT_ID_SIZE 256
@@ -30,15 +31,17 @@
 /* Adds a crash report; has no effect if its id is already known. */
 void lc_quarantine_add_report (LcQuarantine *quarantine, const LcCrashReport *report, LbTime now);
 void lc_quarantine_withdraw_report (LcQuarantine *quarantine, const char *id);
-/* Call when an endpoint has answered a request that this instance sent. */
+/* Records that an endpoint answered a request of this instance, which proves that the request's
+ * content does not crash endpoints. Call for each answered request. */
 void lc_quarantine_record_answer (LcQuarantine *quarantine, LcFingerprint fingerprint, LbTime now);
-/* Call when another instance has announced that an endpoint answered the request (see
- * lc_quarantine_pop_clearance). */
+/* Records that another instance has announced a clearance of the fingerprint: an endpoint answered
+ * a request with it there (see lc_quarantine_pop_clearance). */
 void lc_quarantine_add_clearance (LcQuarantine *quarantine, LcFingerprint fingerprint, LbTime at);
-/* Drops reports and clearances that are too old to count. */
+/* Drops crash reports, and clearances (answers that proved a fingerprint harmless), that are too
+ * old to count. */
 void lc_quarantine_expire (LcQuarantine *quarantine, LbTime now);
-/* Takes the next suspected fingerprint whose request was answered on this instance, to announce it
- * to the other instances; returns false if there is none. */
+/* Takes the next clearance to announce to the other instances: a suspected fingerprint whose
+ * request was answered on this instance. Returns false if there is none. */
 bool lc_quarantine_pop_clearance (LcQuarantine *quarantine,
                                   LcFingerprint *fingerprint,
                                   LbTime *answered_at);
--- a/packages/core/include/lc-registration.h
+++ b/packages/core/include/lc-registration.h
@@ -3,8 +3,9 @@
 
 #include "lc-roster.h"
 
-/* JSON form of an endpoint's registration, which instances send to each other. It omits the weight
- * versions, which change with each load and are part of the engine plan. */
+/* This header declares the JSON form of an endpoint's registration, which instances send to each
+ * other. The JSON omits the weight versions, which change with each load and are part of the engine
+ * plan (the assignment of engines to models). */
 
 /* Equal registrations give equal texts. The caller frees the result. */
 char *lc_registration_to_json (const LcRegistration *registration);
--- a/packages/core/include/lc-resources.h
+++ b/packages/core/include/lc-resources.h
@@ -39,8 +39,10 @@
 {
   LbName name;
   LbName pool;
-  double share; /* relative weight among the trainers of the pool */
-  int preset;   /* value of LcPreset */
+  /* share of the pool's engines that the trainer gets, relative to the shares of the pool's
+   * other trainers */
+  double share;
+  int preset; /* value of LcPreset */
   /* derived from preset: 0 (only staleness counts) to 1 (only idle time counts) */
   double idle_weight;
   double hedge_budget; /* maximum share of a step's tokens that hedged requests may waste, 0..0.5 */
--- a/packages/core/include/lc-rollouts.h
+++ b/packages/core/include/lc-rollouts.h
@@ -3,12 +3,13 @@
 
 #include "lc-dispatch.h"
 
-/* Owner of trainers' steps. A step is the set of samples that a trainer asks for at once, a slot is
- * the place of one sample in a step, and a ledger is the row in the store that records which slots
- * of a step were delivered. The owner schedules generations, labels samples with weight versions,
- * has them scored, enforces the staleness bound, delivers chunks with cursors, and migrates or
- * hedges stragglers. No I/O: functions that change the state add actions that the caller carries
- * out; it submits requests to LcDispatch and replies to trainers. */
+/* This header declares the owner of trainers' steps. A step is the set of samples that a trainer
+ * asks for at once, a slot is the place of one sample in a step, and a ledger is the row in the
+ * store that records which slots of a step were delivered. The owner schedules generations, labels
+ * samples with weight versions, has them scored, enforces the staleness bound, delivers chunks of
+ * samples with cursors, and migrates or hedges stragglers. No I/O: functions that change the state
+ * add actions that the caller carries out; the caller submits requests to LcDispatch and replies to
+ * trainers. */
 
 typedef struct
 {
@@ -44,8 +45,10 @@
 /* State of a step that its previous owner left to the next owner. */
 typedef struct
 {
-  uint64_t session;          /* session number of the new owner; larger for each owner of a step */
-  const char *ledger_cursor; /* value of the ledger row; "" if the row does not exist */
+  /* number of the new owner's session; each later owner of a step has a larger number */
+  uint64_t session;
+  /* cursor in the step's ledger row, naming the delivered slots; "" if the row does not exist */
+  const char *ledger_cursor;
   const LcReadySample *samples; /* samples that the trainer has not acknowledged */
   size_t n_samples;
 } LcStepHandover;
@@ -53,22 +56,26 @@
 /* A trainer's request for the next chunk of a step. */
 typedef struct
 {
-  uint64_t id; /* id of the pull, chosen by the caller; the reply has it as pull_id */
+  /* id of the pull, chosen by the caller of LcRollouts; the REPLY action has it as pull_id */
+  uint64_t id;
   LbName subscription;
   int64_t step;
-  const char *cursor;        /* cursor of the last reply; "" at the start of a step */
-  LcVersion trainer_version; /* the trainer's current version, which staleness is relative to */
+  /* cursor of the last reply that the trainer received; "" at the start of a step */
+  const char *cursor;
+  /* the trainer's current weight version; staleness is measured against it */
+  LcVersion trainer_version;
   int64_t max_samples;
-  LbTime wait_until; /* reply without samples if none is ready by this time */
+  LbTime wait_until; /* if no sample is ready by this time, the reply is sent without samples */
 } LcPull;
 
 typedef enum
 {
-  LC_ROLLOUT_GENERATE,     /* submit a generation request to LcDispatch */
-  LC_ROLLOUT_CANCEL,       /* cancel the request of an earlier GENERATE or SCORE action */
-  LC_ROLLOUT_SCORE,        /* send a sample to the scorer */
-  LC_ROLLOUT_WRITE_LEDGER, /* write a step's ledger row, unless a later session has written it */
-  LC_ROLLOUT_REPLY,        /* reply to a trainer's pull */
+  LC_ROLLOUT_GENERATE, /* submit a generation request to LcDispatch */
+  LC_ROLLOUT_CANCEL,   /* cancel the request of an earlier GENERATE or SCORE action */
+  LC_ROLLOUT_SCORE,    /* send a sample to the scorer */
+  /* write a step's ledger row, unless a later owner of the step has written it */
+  LC_ROLLOUT_WRITE_LEDGER,
+  LC_ROLLOUT_REPLY, /* reply to a trainer's pull */
   /* Stop the request of an earlier GENERATE action. Then pass LB_ERROR_CLOSED to
    * lc_rollouts_finish_generation, with the text of exactly the pieces that were passed to
    * lc_rollouts_add_generated_piece, so that another request can resume after them. */
@@ -83,23 +90,29 @@
   LcRequestSpec spec; /* request to submit; spec.id is its id */
   const char *group;  /* id of the sample's group; valid until the LcRollouts is next changed */
   int64_t index;      /* index of the sample in its group, from 0 */
-  const char *prompt; /* owned by the step; valid until the LcRollouts is next changed */
+  /* prompt of the sample; owned by the step, valid until the LcRollouts is next changed */
+  const char *prompt;
   int64_t max_tokens;
-  char *resume_text; /* GENERATE: text to resume after, owned by the action; NULL: none */
+  /* GENERATE: generated text that the request continues, owned by the action; NULL: none */
+  char *resume_text;
   LbName scorer;
   const char *text; /* SCORE: text of the sample to score */
   /* Members set for WRITE_LEDGER. */
   uint64_t write_id; /* argument for lc_rollouts_finish_ledger_write */
-  char *row_key;     /* owned by the action */
-  char *row_value;   /* owned by the action */
+  char *row_key;     /* key of the step's ledger row; owned by the action */
+  char *row_value;   /* new value of the step's ledger row; owned by the action */
   uint64_t session;
   /* Members set for REPLY. */
   uint64_t pull_id;
-  LbError error; /* error of the pull; with code LB_OK, the reply is a chunk of 0 or more samples */
+  /* error that the reply gives to the trainer; with code LB_OK, the reply is a chunk of 0 or
+   * more samples */
+  LbError error;
   LbTime retry_after;
-  LcReadySample *samples; /* array owned by the action */
+  LcReadySample *samples; /* samples of the chunk; the array is owned by the action */
   size_t n_samples;
-  char *cursor;      /* owned by the action */
+  /* cursor to send with the chunk, which acknowledges the chunk when the trainer sends it back;
+   * owned by the action */
+  char *cursor;
   int64_t remaining; /* number of slots still to be delivered after this chunk */
 } LcRolloutAction;
 
@@ -118,7 +131,7 @@
   double staleness_sum;  /* sum of the staleness of all delivered samples, in versions */
   int64_t staleness_max; /* largest staleness of a delivered sample, in versions */
   LbTime opened_at;
-  LbTime completed_at; /* when no undelivered slot was left; 0 before */
+  LbTime completed_at; /* time at which no undelivered slot was left; 0: the step is not complete */
 } LcStepStatus;
 
 typedef struct
@@ -157,22 +170,23 @@
 lc_rollouts_configure (LcRollouts *rollouts, const LcResourceSet *set, LbTime now, LbList *actions);
 /* Opens a step and takes ownership of the spec's content. For a step that is already open, the call
  * has no effect if the content is the same, and fails with LB_ERROR_CONFLICT otherwise. Each later
- * owner of a step has a larger session. */
+ * owner of a step has a larger session number. */
 bool lc_rollouts_open_step (LcRollouts *rollouts,
                             LcStepSpec *spec,
                             uint64_t session,
                             LbTime now,
                             LbList *actions,
                             LbError *error);
-/* Opens a step of a previous owner. Slots in the ledger's cursor, and slots with a sample in the
- * handover, are not generated again. */
+/* Opens a step of a previous owner. Slots that the ledger's cursor contains, and slots with a
+ * sample in the handover (the state that the previous owner left), are not generated again. */
 bool lc_rollouts_take_over_step (LcRollouts *rollouts,
                                  LcStepSpec *spec,
                                  const LcStepHandover *handover,
                                  LbTime now,
                                  LbList *actions,
                                  LbError *error);
-/* Like lc_rollouts_take_over_step, but without samples of the previous owner. */
+/* Like lc_rollouts_take_over_step, but with the ledger row only, without samples of the previous
+ * owner. */
 bool lc_rollouts_recover_step_from_ledger (LcRollouts *rollouts,
                                            LcStepSpec *spec,
                                            uint64_t session,
@@ -189,7 +203,8 @@
                              LbList *actions);
 void
 lc_rollouts_accept_pull (LcRollouts *rollouts, const LcPull *pull, LbTime now, LbList *actions);
-/* Removes the pull of a closed connection. A trainer that repeats the pull gets the same chunk. */
+/* Removes a trainer's pull whose connection was closed. A trainer that repeats the pull gets the
+ * same chunk. */
 void lc_rollouts_cancel_pull (LcRollouts *rollouts, uint64_t pull_id);
 /* Processes the next piece of a generation's stream, which the endpoint sent. */
 void lc_rollouts_add_generated_piece (LcRollouts *rollouts,
@@ -213,8 +228,8 @@
                                  LbList *actions);
 void lc_rollouts_finish_ledger_write (
     LcRollouts *rollouts, uint64_t write_id, LbErrorCode error, LbTime now, LbList *actions);
-/* Sets the newest version that the pool serves and the time between versions, which predict the
- * staleness of samples. 0 means that a value is unknown. */
+/* Sets the newest weight version that the pool serves and the time between new versions, from which
+ * the staleness of samples is predicted. 0 means that a value is unknown. */
 void lc_rollouts_set_newest_pool_version (LcRollouts *rollouts,
                                           const char *pool_name,
                                           LcVersion newest_version,
--- a/packages/core/include/lc-roster.h
+++ b/packages/core/include/lc-roster.h
@@ -4,8 +4,8 @@
 #include "lc-engine-plan.h"
 #include "lc-resources.h"
 
-/* This instance's view of the endpoints that are registered in the store, and the model that each
- * engine is used for. No I/O. */
+/* This header declares this instance's view of the endpoints that are registered in the store, and
+ * of the model that each engine is used for. No I/O. */
 
 /* Maximum number of models that one engine holds. */
 #define LC_MAX_MODELS 8
@@ -46,8 +46,8 @@
 /* Records that the store's list, requested at asked_at, is unchanged. Returns true if the resource
  * set changed, which happens if the grace period after a store outage has ended. */
 bool lc_roster_record_unchanged_list (LcRoster *roster, LbTime asked_at, LbTime now);
-/* Sets the planning instance's assignment of engines to models. Engines that the plan does not name
- * are divided evenly among the models. Returns true if the resource set changed. */
+/* Sets the assignment of engines to models. Engines that the plan does not name are divided evenly
+ * among the models. Returns true if the resource set changed. */
 bool lc_roster_set_engine_plan (LcRoster *roster, const LcEnginePlan *plan);
 
 /* Functions that only read an LcRoster. */
@@ -57,8 +57,8 @@
 const LcRegistration *lc_roster_registration (const LcRoster *roster, size_t index);
 /* Name of the model that the engine is used for; "": a plain service. */
 const char *lc_roster_assigned_model (const LcRoster *roster, size_t index);
-/* Weight version of the engine's assigned model: the later one of the registered and the planned
- * version; 0: none. */
+/* Weight version of the engine's assigned model: the later one of the version in the engine's
+ * registration and the version in the engine plan; 0: none. */
 LcVersion lc_roster_latest_weight_version (const LcRoster *roster, size_t index);
 /* Weight version of the engine's assigned model as stated in its registration; 0: none. */
 LcVersion lc_roster_registered_weight_version (const LcRoster *roster, size_t index);
--- a/packages/core/include/lc-router.h
+++ b/packages/core/include/lc-router.h
@@ -18,8 +18,9 @@
   LbTime soft_deadline;  /* desired completion time of the whole answer; 0: none */
   LbTime submitted;      /* when the request was admitted */
   LcVersion min_version; /* oldest acceptable weight version; 0: any */
-  LbTime reported_since; /* excludes endpoints whose last load report is older; 0: excludes none */
-  double live_reserve;   /* share of each engine's concurrency kept for live calls, 0..0.9 */
+  /* endpoints whose last load report is older than this time are excluded; 0: none is excluded */
+  LbTime reported_since;
+  double live_reserve; /* share of each engine's concurrency kept for live calls, 0..0.9 */
   LbName avoid[LC_MAX_AVOIDED_ENDPOINTS]; /* endpoints to exclude */
   size_t n_avoid;
 } LcRouteQuery;
@@ -27,7 +28,9 @@
 typedef struct
 {
   LcEndpoint *endpoint;
-  double score; /* lower is better; expected seconds to finish for the default policy */
+  /* lower is better; for the default policy, the expected number of seconds until the request is
+   * finished */
+  double score;
 } LcCandidate;
 
 #define LC_MAX_SHOWN_CANDIDATES 8
@@ -35,14 +38,18 @@
 /* A routing decision, as it is logged: the endpoint, the candidates and the reason. */
 typedef struct
 {
-  LcEndpoint *endpoint; /* NULL: no endpoint can take the request now */
-  const char *reason; /* static string such as "least-finish-time", "no-capacity", "all-leaving" */
-  LcCandidate shown[LC_MAX_SHOWN_CANDIDATES]; /* candidates with the lowest scores */
+  /* endpoint to send the request to; NULL: no endpoint can take the request now */
+  LcEndpoint *endpoint;
+  /* why this endpoint or none was chosen: static string such as "least-finish-time",
+   * "no-capacity", "all-leaving" */
+  const char *reason;
+  /* the candidates with the lowest (best) scores, for the log */
+  LcCandidate shown[LC_MAX_SHOWN_CANDIDATES];
   size_t n_shown;
   size_t n_candidates; /* number of endpoints that can take the request */
 } LcRouteDecision;
 
-/* A routing policy with its state. */
+/* A routing policy with the policy's state. */
 typedef struct LcRouter LcRouter;
 
 typedef struct
--- a/packages/core/include/lc-scaling.h
+++ b/packages/core/include/lc-scaling.h
@@ -17,8 +17,9 @@
 /* Records that a trainer submitted a batch of n_generations for the model. */
 void
 lc_scaling_add_demand (LcScaling *scaling, const char *model, int64_t n_generations, LbTime now);
-/* Discards the record of orders, so that all orders are sent again. Called when this instance
- * becomes the lease holder, since it does not know the orders of earlier holders. */
+/* Discards the record of the orders sent to the platform, so that all orders are sent again. Called
+ * when this instance becomes the lease holder, since it does not know the orders of earlier
+ * holders. */
 void lc_scaling_forget_orders (LcScaling *scaling);
 
 typedef struct
@@ -28,8 +29,8 @@
   int64_t endpoints; /* total number of spot endpoints wanted in the data centre */
 } LcScalingOrder;
 
-/* Fills in the next order to send; false: no order is due. Call lc_scaling_record_order_outcome
- * with the outcome of the order. */
+/* Fills in the next order of spot endpoints; returns false if no order is due. Call
+ * lc_scaling_record_order_outcome with the outcome of the order. */
 bool lc_scaling_next_order (LcScaling *scaling,
                             const LcDesired *desired,
                             const LcResourceSet *set,
@@ -39,8 +40,8 @@
 typedef enum
 {
   LC_SCALING_ACCEPTED,
-  /* No answer: the order may be executed late, even after a newer one. The next order corrects the
-   * number of endpoints. */
+  /* The platform gave no answer, so the order may be executed late, even after a newer one. The
+   * next order corrects the number of endpoints. */
   LC_SCALING_UNKNOWN,
   LC_SCALING_REFUSED /* the data centre has no capacity now */
 } LcScalingOutcome;
--- a/packages/core/include/lc-subset.h
+++ b/packages/core/include/lc-subset.h
@@ -7,10 +7,11 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Deterministic subsetting of the endpoint table. Rows are read in key order, and the keys are
- * random names, so the first rows are a sample of all data centres and services. For each service,
- * the subset contains the endpoints whose keys are up to a bound, or all endpoints if the service
- * has few. If the whole table fits one page, the subset is the whole table. No I/O. */
+/* This header declares the deterministic choice of a subset of the endpoint table. Rows are read in
+ * key order, and the keys are random names, so the first rows are a sample of all data centres and
+ * services. For each service, the subset contains the endpoints whose keys are up to a bound, or
+ * all endpoints if the service has few. If the whole table fits one page, the subset is the whole
+ * table. No I/O. */
 
 /* Minimum number of endpoints, leaving ones excluded, in the subset of a service that has at least
  * that many; for engines, the minimum for each model. */
--- a/packages/core/include/lc-swap-turns.h
+++ b/packages/core/include/lc-swap-turns.h
@@ -3,16 +3,16 @@
 
 #include "lc-weights.h"
 
-/* Scheduling of weight loads among models. Only a few loads run at full speed at the same time, so
- * the scheduler chooses the model that may start the next one. */
+/* One model in the scheduling of weight loads. Only a few loads run at full speed at the same time,
+ * so the scheduler chooses the model that may start the next load. */
 typedef struct
 {
   LcWeightsStatus status;
-  bool blocked; /* no load could be ordered for the model when it was last chosen */
+  bool blocked; /* when the model was last chosen, none of its engines could be ordered to load */
 } LcSwapCandidate;
 
-/* Returns the index of the model with the smallest share of engines whose weights are usable or
- * being loaded; n if no model needs a load. */
+/* Returns the index of the model with the smallest share of engines that have usable weights or are
+ * loading; n if no model needs a load. */
 size_t lc_swap_turns_choose_model (const LcSwapCandidate *candidates, size_t n);
 
 /* Maximum percentage of all engines that load weights at once; more loads slow each other down. The
--- a/packages/core/include/lc-text-cache.h
+++ b/packages/core/include/lc-text-cache.h
@@ -4,14 +4,16 @@
 #include "lb-types.h"
 #include "lc-types.h"
 
-/* Cache for the texts of incomplete groups from ended batches of one model. A trainer requests an
- * incomplete group again in a later batch, with the same item ids; the cached texts are then
- * continued instead of generated again. No I/O. */
+/* This header declares a cache for the texts of incomplete groups from ended batches of one model.
+ * A trainer requests an incomplete group again in a later batch, with the same item ids; the cached
+ * texts are then continued instead of generated again. No I/O. */
 
 typedef struct
 {
   LbName item;
-  uint64_t fingerprint; /* hash of request and scorer, since an id may be used for another item */
+  /* hash of the item's request and scorer, needed because a trainer may use the id for another
+   * item */
+  uint64_t fingerprint;
   bool is_complete;
   int64_t n_events;
   const char *text; /* events separated by line feeds; not owned */
--- a/packages/core/include/lc-ticket.h
+++ b/packages/core/include/lc-ticket.h
@@ -3,30 +3,38 @@
 
 #include "lc-types.h"
 
-/* Tickets (idempotency keys) for calls that must run at most once. A ticket
- * "INSTANCE.INCARNATION.NUMBER" names the only process that may run its call: one incarnation of an
- * instance. Only the memory of this process records whether the call has run, so no store is needed
- * and no two instances can disagree. */
+/* This header declares tickets (idempotency keys) for calls that must run at most once. A ticket
+ * "INSTANCE.INCARNATION.NUMBER" names the only process that may run the ticket's call: one
+ * incarnation of an instance. Only the memory of this process records whether the call has run, so
+ * no store is needed and no two instances can disagree. */
 
 #define LC_TICKET_SIZE (2 * LB_NAME_MAX + 24)
 
 typedef struct
 {
-  /* time until a ticket expires, counted from its issue, and anew from the end of its call */
+  /* time until a ticket expires, counted from the issue of the ticket, and anew from the end of the
+   * ticket's call */
   LbTime lifetime;
-  size_t max_tickets;      /* limit for the number of tickets in all states together */
-  size_t max_answer_bytes; /* limit for the total size of stored answers; the oldest are evicted */
+  size_t max_tickets; /* limit for the number of tickets in all states together */
+  /* limit for the total size of stored answers; above it, the oldest answers are evicted */
+  size_t max_answer_bytes;
   uint64_t seed;
 } LcTicketLimits;
 
 typedef enum
 {
-  /* run the call now; returned again for a ticket only if its call is known not to have run */
+  /* run the call now; a ticket gets this decision again only if its call is known not to have
+   * run */
   LC_TICKET_RUN,
-  LC_TICKET_JOIN,   /* the call is running as `request`: wait for its answer */
-  LC_TICKET_REPLAY, /* send the stored `answer` */
-  LC_TICKET_RELAY,  /* relay the call to `instance`, the only one that may run it */
-  LC_TICKET_REJECT  /* fail the call with `error` */
+  /* the call is already running as the request with id `request`: wait for the answer to that
+   * request */
+  LC_TICKET_JOIN,
+  /* the call has ended: send the stored `answer` without running the call again */
+  LC_TICKET_REPLAY,
+  /* relay the call to `instance`, which issued the ticket and is the only one that may run the
+   * call */
+  LC_TICKET_RELAY,
+  LC_TICKET_REJECT /* fail the call with `error` */
 } LcTicketAction;
 
 typedef struct
--- a/packages/core/include/lc-types.h
+++ b/packages/core/include/lc-types.h
@@ -31,14 +31,15 @@
 
 #define LC_MAX_SPANS 16
 
-/* Records which weight version generated each token of a sample. The spans are in token order
- * without gaps and contain only versions that the engine stated. */
+/* Label of a sample: records which weight version generated each token. The spans are in token
+ * order without gaps and contain only versions that the engine stated. */
 typedef struct
 {
   LcSpan spans[LC_MAX_SPANS];
   size_t n_spans;
   int64_t tokens;
-  /* versions of tokens are missing or contradictory; reset when a retry starts */
+  /* versions of tokens are missing or contradictory; cleared when another endpoint generates the
+   * sample again */
   bool unlabelled;
 } LcLabel;
 
--- a/packages/core/include/lc-usage-reports.h
+++ b/packages/core/include/lc-usage-reports.h
@@ -3,11 +3,11 @@
 
 #include "lc-usage.h"
 
-/* Usage reports. The instance that holds the usage reporting duty sums the rows of each window and
- * sends the result to the platform. Before a report is first sent, its text is recorded in the
- * store, on condition that the window has no recorded report. Every later holder sends the recorded
- * text, so no two reports of one window ever differ. No I/O: the caller runs each action and then
- * calls the function for its result exactly once. */
+/* This header declares the usage reports. The instance that holds the usage reporting duty sums the
+ * rows of each time window and sends the result to the platform. Before a report is first sent, its
+ * text is recorded in the store, on condition that the window has no recorded report. Every later
+ * holder of the duty sends the recorded text, so no two reports of one window ever differ. No I/O:
+ * the caller runs each action and then calls the function for its result exactly once. */
 
 typedef struct
 {
@@ -50,8 +50,8 @@
 {
   LC_USAGE_ACCEPTED,
   LC_USAGE_NO_ANSWER, /* the platform may have accepted the report, or may accept it later */
-  LC_USAGE_REFUSED    /* the platform rejected this attempt or this sender; the report is sent again
-                         later */
+  /* the platform rejected this attempt or this sender, so the report is sent again later */
+  LC_USAGE_REFUSED
 } LcUsageSendResult;
 
 typedef struct LcUsageReports LcUsageReports;
@@ -73,13 +73,13 @@
  */
 void lc_usage_reports_add_window_with_rows (LcUsageReports *reports, int64_t window);
 void lc_usage_reports_read_reports_completed (LcUsageReports *reports, bool ok, LbTime now);
-/* counts is NULL if the rows could not be read. */
+/* counts: sums of the window's rows; NULL if the rows could not be read. */
 void lc_usage_reports_sum_rows_completed (LcUsageReports *reports,
                                           int64_t window,
                                           LcUsageCounts *counts,
                                           LbTime now);
-/* recorded is the report that the store already had for the window; NULL if there was none or the
- * result of the write is unknown. */
+/* recorded: text of the report that the store already had for the window; NULL if there was none or
+ * the result of the write is unknown. */
 void lc_usage_reports_record_report_completed (
     LcUsageReports *reports, int64_t window, bool ok, const char *recorded, LbTime now);
 void lc_usage_reports_send_report_completed (LcUsageReports *reports,
--- a/packages/core/include/lc-usage.h
+++ b/packages/core/include/lc-usage.h
@@ -5,9 +5,9 @@
 
 struct json_object;
 
-/* Counts the requests that each organisation starts in each time window, with the clock of
- * lc-true-time.h. Each instance writes its own counts to rows of a shared store; the instance that
- * holds the usage reporting duty sums all rows of a window. No I/O. */
+/* This header declares the counts of the requests that each organisation starts in each time
+ * window, with the clock of lc-true-time.h. Each instance writes its own counts to rows of a shared
+ * store; the instance that holds the usage reporting duty sums all rows of a window. No I/O. */
 
 /* Number of requests of each organisation in one window. */
 typedef struct LcUsageCounts LcUsageCounts;
@@ -18,8 +18,9 @@
 lc_usage_counts_add_requests (LcUsageCounts *counts, const char *organisation, int64_t requests);
 /* Adds the counts in a row's JSON text; returns false with an error if the text is malformed. */
 bool lc_usage_counts_add_text (LcUsageCounts *counts, const char *text, LbError *error);
-/* Raises each count to the organisation's count in others if that is larger. Merges rows of one
- * incarnation of an instance, where each later row includes the counts of the earlier ones. */
+/* Raises each count to the count of the same organisation in `others` if that is larger. Merges
+ * rows of one incarnation of an instance, where each later row includes the counts of the earlier
+ * ones. */
 void lc_usage_counts_merge_maximum (LcUsageCounts *counts, const LcUsageCounts *others);
 void lc_usage_counts_add_counts (LcUsageCounts *counts, const LcUsageCounts *others);
 int64_t lc_usage_counts_get_requests (const LcUsageCounts *counts, const char *organisation);
--- a/packages/core/include/lc-weights.h
+++ b/packages/core/include/lc-weights.h
@@ -3,10 +3,11 @@
 
 #include "lc-resources.h"
 
-/* Rolling update of the model weights on the engines of one pool. Chooses the engine that is next
- * ordered to load the target version, and reports why other engines wait. Keeps no state that a new
- * holder of the pool's lease could not read from the engines. No I/O: commands append actions; the
- * caller sends the orders, polls the engines and passes on their reports. */
+/* This header declares the rolling update of the model weights on the engines of one pool.
+ * LcWeights chooses the engine that is next ordered to load the target version, and reports why
+ * other engines wait. It keeps no state that a new holder of the pool's lease could not read from
+ * the engines. No I/O: commands append actions; the caller sends the orders, polls the engines and
+ * passes on their reports. */
 
 /* Report of an engine about its weights. */
 typedef struct
@@ -94,11 +95,12 @@
 /* Functions that only read an LcWeights. */
 typedef enum
 {
-  LC_WEIGHTS_IDLE,          /* no engine needs a load */
-  LC_WEIGHTS_IN_PROGRESS,   /* swaps are in progress */
-  LC_WEIGHTS_NO_LEASE,      /* the lease does not allow orders now */
-  LC_WEIGHTS_RATE_LIMITED,  /* the rate limit of the weight store delays the next order */
-  LC_WEIGHTS_CAPACITY,      /* another swap would reduce live capacity below the reserve */
+  LC_WEIGHTS_IDLE,         /* no engine needs a load */
+  LC_WEIGHTS_IN_PROGRESS,  /* swaps are in progress */
+  LC_WEIGHTS_NO_LEASE,     /* the lease for sending load orders does not allow orders now */
+  LC_WEIGHTS_RATE_LIMITED, /* the rate limit of the weight store delays the next order */
+  /* one more swap would reduce the capacity for live calls below the reserve */
+  LC_WEIGHTS_CAPACITY,
   LC_WEIGHTS_STATE_UNKNOWN, /* some engines have not reported their state */
   LC_WEIGHTS_BACKOFF,       /* failed loads are retried later */
   LC_WEIGHTS_HALTED /* several engines failed to load the target version, and no engine serves it */
