--- a/packages/core/src/batch/lc-batch-item.c
+++ b/packages/core/src/batch/lc-batch-item.c
@@ -9,8 +9,8 @@
 #define MAX_RETRY_DELAY (800 * LB_MSEC)
 /* Assumed length of a text whose expected and maximum lengths are unknown. */
 #define DEFAULT_TEXT_EVENTS 8
-/* At least a quarter of the estimated length is assumed to remain, since the estimates are right at
- * the median but often far off. */
+/* Divisor of the estimated length: at least a quarter of this length is assumed to remain, since
+ * the estimates are right at the median but often far off. */
 #define MIN_REMAINING_DIVISOR 4
 /* Minimum number of new events of a text to save it. Fewer events cost more to write and to read
  * than to generate again, which takes a quarter of a second at twelve events a second. */
@@ -91,7 +91,8 @@
 {
   LcBatchResult *result = &item->result;
 
-  /* Events of unknown weights cannot be labelled; weights older than min_version are stale. */
+  /* Reached for weights that the text must not contain: a text of unknown weights cannot be
+   * labelled, and weights older than min_version are stale. */
   if (version <= 0 || version < min_version)
     item->is_unusable = true;
   for (size_t i = 0; i < result->n_versions; i++)
--- a/packages/core/src/batch/lc-batch-item.h
+++ b/packages/core/src/batch/lc-batch-item.h
@@ -4,7 +4,7 @@
 #include "lc-batch.h"
 #include "lc-stream-pace.h"
 
-/* State and text of one item of a batch. Private to LcBatch. */
+/* This header declares the state and the text of one item of a batch. Private to LcBatch. */
 
 typedef enum
 {
@@ -30,14 +30,18 @@
   size_t text_capacity;
   int64_t restarts;              /* number of times that the text was discarded and restarted */
   int64_t max_restored_restarts; /* largest `restarts` of the restored checkpoint parts */
-  bool has_gap;                  /* the restored checkpoint parts are not contiguous */
-  int64_t saved_events;          /* number of events in the stored checkpoint */
-  size_t saved_length;           /* bytes of text in the stored checkpoint */
-  /* saved_events once the pending checkpoint is stored; 0: no checkpoint is pending */
+  /* the restored checkpoint parts are not contiguous, so the parts after the gap are ignored */
+  bool has_gap;
+  int64_t saved_events; /* number of events in the stored checkpoint */
+  size_t saved_length;  /* bytes of text in the stored checkpoint */
+  /* number of events that the checkpoint has once the checkpoint write in progress succeeds; 0: no
+   * write is in progress */
   int64_t saving_events;
-  size_t saving_length;    /* saved_length once the pending checkpoint is stored */
-  int64_t cached_events;   /* number of events of the text in an earlier batch; 0: not known */
-  bool cached_is_complete; /* an earlier batch completed the text */
+  /* bytes of text that the checkpoint has once the checkpoint write in progress succeeds */
+  size_t saving_length;
+  /* number of events of the item's text in an earlier batch, from the text cache; 0: not known */
+  int64_t cached_events;
+  bool cached_is_complete; /* an earlier batch completed the text that cached_events counts */
   LbTime started_at;       /* start time of the current request */
   LbTime first_piece_at;   /* time of the current request's first piece; 0: none yet */
   LbTime last_piece_at;    /* time of the current request's last piece */
@@ -71,9 +75,9 @@
 void lc_batch_item_restore_checkpointed_text (LcBatchItem *item, const LcBatchTextPart *part);
 /* Call after the last lc_batch_item_restore_checkpointed_text. */
 void lc_batch_item_finish_text_restore (LcBatchItem *item);
-/* Discards the text; the next request generates it from its first event. */
+/* Discards the text, so that the next request generates the text from its first event. */
 void lc_batch_item_restart_text (LcBatchItem *item);
-/* Returns the events that are not in the stored checkpoint. */
+/* Returns the events that are not in the stored checkpoint, to be written to the checkpoint. */
 LcBatchTextPart lc_batch_item_begin_checkpoint (LcBatchItem *item);
 void lc_batch_item_finish_checkpoint (LcBatchItem *item, bool ok);
 /* Sets the item's state and schedules a retry with exponential backoff. */
--- a/packages/core/src/batch/lc-batch-private.h
+++ b/packages/core/src/batch/lc-batch-private.h
@@ -4,9 +4,9 @@
 #include "lc-batch-item.h"
 #include "lc-straggler.h"
 
-/* Shared by the source files of LcBatch: lc-batch.c runs the items, lc-batch-write.c writes their
- * results, lc-batch-review.c moves items whose streams are slow and restarts those whose text is
- * unusable. */
+/* This header is shared by the source files of LcBatch: lc-batch.c runs the items, lc-batch-write.c
+ * writes their results, lc-batch-review.c moves items whose streams are slow and restarts those
+ * whose text is unusable. */
 
 /* A store transaction takes at most 100 entries; each result needs two, a row and a condition. */
 #define LC_BATCH_MAX_RESULTS_PER_WRITE 40
@@ -32,7 +32,7 @@
   size_t retained_bytes; /* total size of the texts that stay in memory after their results were
                             stored */
   const LcBatchResult **results_in_write;
-  /* number of results in results_in_write: those of the first items in ready_items */
+  /* number of results in results_in_write, which belong to the first items in ready_items */
   size_t n_results_in_write;
   bool is_writing;
   LbTime next_review_at;
--- a/packages/core/src/batch/lc-batch-reuse.c
+++ b/packages/core/src/batch/lc-batch-reuse.c
@@ -63,7 +63,7 @@
 }
 
 static Group *
-collect_groups_and_completion (const LcBatchSpec *spec, const LcBatchItem *items, LbTime now)
+collect_groups_with_completion (const LcBatchSpec *spec, const LcBatchItem *items, LbTime now)
 {
   Group *groups = NULL;
 
@@ -102,7 +102,7 @@
                                            LcTextCache *cache,
                                            LbTime now)
 {
-  Group *groups = collect_groups_and_completion (spec, items, now);
+  Group *groups = collect_groups_with_completion (spec, items, now);
   Group *group, *next;
 
   for (size_t i = 0; i < spec->n_items; i++)
--- a/packages/core/src/batch/lc-batch-reuse.h
+++ b/packages/core/src/batch/lc-batch-reuse.h
@@ -3,10 +3,10 @@
 
 #include "lc-batch-item.h"
 
-/* Reuse of texts by a later batch. A trainer ends its step when enough groups are complete, and
- * requests the incomplete groups again in a later step with the same item ids. Generating a text of
- * 190 events again takes 7 s and makes that step late too; continuing the text takes only the
- * remaining part of the 7 s. Private to LcBatch. */
+/* This header declares the reuse of texts by a later batch. A trainer ends its step when enough
+ * groups are complete, and requests the incomplete groups again in a later step with the same item
+ * ids. Generating a text of 190 events again takes 7 s and makes that step late too; continuing the
+ * text takes only the remaining part of the 7 s. Private to LcBatch. */
 
 /* Stores the texts of incomplete groups in the cache. */
 void lc_batch_cache_texts_of_incomplete_groups (const LcBatchSpec *spec,
--- a/packages/core/src/batch/lc-batch.c
+++ b/packages/core/src/batch/lc-batch.c
@@ -18,7 +18,8 @@
 /* Time between checkpoints. A takeover loses at most the events of one period and of a checkpoint
  * write in progress. Each running step costs four writes a second. */
 #define CHECKPOINT_PERIOD (250 * LB_MSEC)
-/* A store transaction takes at most 100 entries, of which two may be for the batch's own row. */
+/* A store transaction takes at most 100 entries, of which two may be for the batch's row in the
+ * store. */
 #define MAX_PARTS_PER_CHECKPOINT 90
 
 void
@@ -151,7 +152,7 @@
 }
 
 static void
-start_generation (LcBatch *batch, LcBatchItem *item, LbTime now, LbList *actions)
+start_item_generation (LcBatch *batch, LcBatchItem *item, LbTime now, LbList *actions)
 {
   LcBatchAction *action = lc_batch_add_action (actions, LC_BATCH_GENERATE);
 
@@ -174,7 +175,7 @@
 }
 
 static void
-start_scoring (LcBatch *batch, LcBatchItem *item, LbList *actions)
+start_item_scoring (LcBatch *batch, LcBatchItem *item, LbList *actions)
 {
   LcBatchAction *action = lc_batch_add_action (actions, LC_BATCH_SCORE);
 
@@ -188,7 +189,7 @@
 score_text_or_queue_result (LcBatch *batch, LcBatchItem *item, LbList *actions)
 {
   if (batch->spec.items[lc_batch_find_item_index (batch, item)].has_scorer && !item->result.score)
-    start_scoring (batch, item, actions);
+    start_item_scoring (batch, item, actions);
   else
     lc_batch_queue_result_for_write (batch, item, true, actions);
 }
@@ -280,7 +281,7 @@
   reuse_cached_texts (batch, actions);
   for (size_t i = 0; i < batch->spec.n_items; i++)
     if (batch->items[i].state == ITEM_WAITING && batch->items[i].retry_at <= now)
-      start_generation (batch, &batch->items[i], now, actions);
+      start_item_generation (batch, &batch->items[i], now, actions);
 }
 
 void
@@ -353,7 +354,7 @@
     }
   if (error == LB_ERROR_CLOSED && item->is_preempted)
     {
-      start_generation (batch, item, now, actions);
+      start_item_generation (batch, item, now, actions);
       return;
     }
   item->failures += error == LB_ERROR_ENDPOINT_FAILED;
@@ -443,9 +444,9 @@
       if (now < item->retry_at)
         continue;
       if (item->state == ITEM_WAITING)
-        start_generation (batch, item, now, actions);
+        start_item_generation (batch, item, now, actions);
       else if (item->state == ITEM_GENERATED)
-        start_scoring (batch, item, actions);
+        start_item_scoring (batch, item, actions);
     }
   if (now >= batch->next_review_at)
     lc_batch_restart_or_move_items (batch, now, actions);
--- a/packages/core/src/batch/lc-straggler.c
+++ b/packages/core/src/batch/lc-straggler.c
@@ -3,8 +3,8 @@
 #include <math.h>
 
 #define BUCKETS_PER_DOUBLING 8
-/* Sum of the sample weights in a histogram at which all weights are halved; about four steps of
- * 2,048 samples. */
+/* The sum of the sample weights in a histogram at which all weights are halved; equals about four
+ * steps of 2,048 samples. */
 #define MAX_HISTORY_SAMPLES 8192
 /* The mean length over all groups counts as this many samples in the prediction for one group. */
 #define PRIOR_SAMPLES 1.0
@@ -65,9 +65,9 @@
   return fmin (lengths->sum / lengths->count, (double)max_tokens);
 }
 
-/* Uses the mean of the ended samples that were longer than `tokens`. If there are none, the sample
- * is expected to double its length, or to grow by the mean length if that is more, up to
- * max_tokens. */
+/* Returns the mean remaining length of the ended samples that were longer than `tokens`. If there
+ * are none, the sample is expected to double its length, or to grow by the mean length if that is
+ * more, up to max_tokens. */
 double
 lc_length_histogram_estimate_remaining_tokens (const LcLengthHistogram *lengths,
                                                int64_t tokens,
@@ -188,8 +188,9 @@
                * estimate_seconds_to_regenerate_sample (lengths, pace, progress);
 }
 
-/* A moved sample keeps its priority, so it should not wait longer for its first piece than it did
- * before. The mean wait alone would be too long: most samples are short and are served last. */
+/* Expected wait for the first piece after a move. A moved sample keeps its priority, so it should
+ * not wait longer than it did before the move. The mean wait alone would be too long, because most
+ * samples are short and are served last. */
 static double
 estimate_wait_seconds_after_move (const LcPace *pace, const LcSampleProgress *progress)
 {
@@ -215,7 +216,8 @@
          - get_hedge_or_move_safety_factor (idle_weight) * remaining / pace->tokens_per_second;
 }
 
-/* The original request runs until the hedge is complete; then its tokens are discarded. */
+/* Counts the tokens of the original request, which runs until the hedge is complete and whose
+ * tokens are then discarded. */
 int64_t
 lc_straggler_hedge_cost_tokens (const LcLengthHistogram *lengths,
                                 const LcPace *pace,
--- a/packages/core/src/batch/lc-straggler.h
+++ b/packages/core/src/batch/lc-straggler.h
@@ -3,8 +3,8 @@
 
 #include "lb-types.h"
 
-/* Predicts the length of samples from the lengths of ended samples, and estimates the gain of
- * hedging a running sample or of moving it to another endpoint. */
+/* This header declares predictions of the length of samples from the lengths of ended samples, and
+ * estimates of the gain of hedging a running sample or of moving it to another endpoint. */
 
 #define LC_LENGTH_BUCKETS 192
 
@@ -13,8 +13,9 @@
 typedef struct
 {
   double buckets[LC_LENGTH_BUCKETS]; /* sample weights by length; eight buckets per doubling */
-  double count;                      /* sum of the sample weights */
-  double sum;                        /* weighted sum of the lengths */
+  double count;                      /* sum of the weights of all samples in the histogram */
+  /* sum of the sample lengths, each multiplied by the weight of the sample */
+  double sum;
 } LcLengthHistogram;
 
 /* Number and total length of the samples of a group, which share a prompt. Ended samples count with
@@ -37,8 +38,10 @@
   int64_t tokens; /* number of tokens generated until now */
   int64_t max_tokens;
   LbTime started_at;
-  LbTime first_piece_at;           /* time of the first piece; 0: none yet */
-  double recent_seconds_per_token; /* 0: not known; the mean of the whole stream is used instead */
+  LbTime first_piece_at; /* time of the first piece; 0: none yet */
+  /* recent time per token of the sample's stream; 0: not known, so the mean of the whole stream
+   * is used */
+  double recent_seconds_per_token;
 } LcSampleProgress;
 
 void lc_length_histogram_add_sample_length (LcLengthHistogram *lengths, int64_t tokens);
@@ -58,10 +61,11 @@
 /* Expected time to generate a new sample of `tokens` tokens; 0: the speed is not known. */
 double lc_pace_expected_generation_seconds (const LcPace *pace, double tokens);
 
-/* Expected seconds saved by a second generation from the start; 0 or less: do not hedge. The time
- * of the second generation is multiplied by a safety factor, which falls with idle_weight (0..1),
- * the weight of the trainer's idle time. Only a slow endpoint justifies a hedge, not a long sample:
- * repeating long samples until a short one comes would teach the trainer's model to be short. */
+/* Expected seconds saved by a hedge, a second generation of the sample from its start; 0 or less:
+ * do not hedge. The time of the second generation is multiplied by a safety factor, which falls
+ * with idle_weight (0..1), the weight of the trainer's idle time. Only a slow endpoint justifies a
+ * hedge, not a long sample: repeating long samples until a short one comes would teach the
+ * trainer's model to be short. */
 double lc_straggler_hedge_gain_seconds (const LcLengthHistogram *lengths,
                                         const LcPace *pace,
                                         const LcSampleProgress *progress,
--- a/packages/core/src/config/lc-change.c
+++ b/packages/core/src/config/lc-change.c
@@ -53,12 +53,12 @@
 /* Rejects a second item for the same resource, since the result would depend on the order of the
  * items. seen_items: set of "KIND/NAME" of the previous items, to which this item is added. */
 static bool
-check_item_is_unique (struct json_object *seen_items,
-                      struct json_object *item,
-                      const char *key,
-                      size_t i,
-                      const char *file,
-                      LbError *error)
+check_change_item_is_unique (struct json_object *seen_items,
+                             struct json_object *item,
+                             const char *key,
+                             size_t i,
+                             const char *file,
+                             LbError *error)
 {
   char id[512];
   const char *kind = lb_json_text (item, "kind", NULL);
@@ -82,18 +82,18 @@
 }
 
 static bool
-delete_resources (LcResourceSet *set,
-                  struct json_object *list,
-                  struct json_object *seen_items,
-                  const char *file,
-                  LbError *error)
+delete_resources_of_change (LcResourceSet *set,
+                            struct json_object *list,
+                            struct json_object *seen_items,
+                            const char *file,
+                            LbError *error)
 {
   LcResourceKind kind;
 
   for (size_t i = 0; i < get_array_length_or_zero (list); i++)
     {
       struct json_object *item = json_object_array_get_idx (list, i);
-      if (!check_item_is_unique (seen_items, item, "delete", i, file, error))
+      if (!check_change_item_is_unique (seen_items, item, "delete", i, file, error))
         return false;
       if (!lc_resource_kind_from_name (lb_json_text (item, "kind", NULL), &kind)
           || !lc_resource_set_remove_resource (set, kind, lb_json_text (item, "name", NULL)))
@@ -105,16 +105,16 @@
 }
 
 static bool
-put_resources (LcResourceSet *set,
-               struct json_object *list,
-               struct json_object *seen_items,
-               const char *file,
-               LbError *error)
+put_resources_of_change (LcResourceSet *set,
+                         struct json_object *list,
+                         struct json_object *seen_items,
+                         const char *file,
+                         LbError *error)
 {
   for (size_t i = 0; i < get_array_length_or_zero (list); i++)
     {
       struct json_object *item = json_object_array_get_idx (list, i);
-      if (!check_item_is_unique (seen_items, item, "apply", i, file, error)
+      if (!check_change_item_is_unique (seen_items, item, "apply", i, file, error)
           || !lc_resource_set_put_resource (set, item, i, file, error))
         return false;
     }
@@ -135,8 +135,8 @@
   LcResourceSet *next
       = lc_resource_set_copy_with_room (set, get_array_length_or_zero (lists.apply));
   next->revision++;
-  bool ok = delete_resources (next, lists.delete, seen_items, file, error)
-            && put_resources (next, lists.apply, seen_items, file, error)
+  bool ok = delete_resources_of_change (next, lists.delete, seen_items, file, error)
+            && put_resources_of_change (next, lists.apply, seen_items, file, error)
             && lc_resource_set_check_references (next, file, error);
   json_object_put (seen_items);
   if (ok)
--- a/packages/core/src/config/lc-config-confirm.c
+++ b/packages/core/src/config/lc-config-confirm.c
@@ -76,8 +76,8 @@
 }
 
 /* Returns true if more than half of the peers recently answered with a confirmed revision and no
- * peer has a newer confirmed revision than this instance. This instance is not counted, since its
- * process has just started and has no confirmation of its own. */
+ * peer has a newer confirmed revision than this instance's active one. This instance is not counted
+ * in the majority, since its process has just started and has no confirmation of its own. */
 static bool
 majority_of_peers_confirms_revision (const LcConfig *config, LbTime now)
 {
--- a/packages/core/src/config/lc-config-message.c
+++ b/packages/core/src/config/lc-config-message.c
@@ -48,7 +48,8 @@
   return true;
 }
 
-/* Parses a message. The message keeps a reference to the body until lc_config_message_clear. */
+/* Parses a message from JSON. The message keeps a reference to the JSON body until
+ * lc_config_message_clear. */
 bool
 lc_config_message_from_json (struct json_object *object, LcConfigMessage *message, LbError *error)
 {
--- a/packages/core/src/config/lc-config-private.h
+++ b/packages/core/src/config/lc-config-private.h
@@ -20,7 +20,7 @@
   LbName incarnation;
   bool alive;
   bool draining;
-  bool is_listed; /* the latest list of members contains the peer */
+  bool is_listed; /* the latest list of cluster members contains the peer */
   /* the peer's latest STATUS message states that its revision is confirmed */
   bool confirmed;
   int64_t revision;         /* newest revision known to be active on the peer */
@@ -40,7 +40,8 @@
   gsl_rng *rng;
   LcConfigPeer *peers; /* all known instances except this one */
   LcResourceSet *set;
-  bool confirmed; /* the store or a majority has confirmed a revision since this process started */
+  /* the store or a majority of the instances has confirmed a revision since this process started */
+  bool confirmed;
   bool ready;
   LbTime started_at;
   /* time of the store's latest known confirmation, on this instance's clock; -1: none */
@@ -48,14 +49,15 @@
   LbTime next_poll_at; /* time of the next read of the store's head row */
   LbTime next_query_at;
   int64_t announced_change; /* number of the last change that this instance announced */
-  int64_t settled_change;   /* number of the last announced change with a known outcome */
+  /* number of the last change that this instance announced and whose outcome is known */
+  int64_t settled_change;
   LbTime announced_at;
 };
 
 /* Returns true if the store confirmed a revision at most max_confirmation_age ago. */
 bool lc_config_is_confirmed_by_store (const LcConfig *config, LbTime now);
-/* Returns true if an instance announced a change, its outcome is unknown and the instance no longer
- * answers. Then only the store can confirm a revision. */
+/* Returns true if an instance announced a change, the outcome of the change is unknown and the
+ * instance no longer answers. Then only the store can confirm a revision. */
 bool lc_config_has_change_of_unknown_outcome (const LcConfig *config, LbTime now);
 /* Returns true if the active revision is confirmed well enough to accept new work. */
 bool lc_config_can_accept_work (const LcConfig *config, LbTime now);
--- a/packages/core/src/config/lc-config.c
+++ b/packages/core/src/config/lc-config.c
@@ -27,7 +27,7 @@
                      "1 if the configuration allows new work to be accepted");
 
 static LcConfigAction *
-append_action (LbList *actions, LcConfigActionType type)
+append_config_action (LbList *actions, LcConfigActionType type)
 {
   LcConfigAction *action = LB_NEW (LcConfigAction);
 
@@ -115,7 +115,7 @@
 }
 
 static void
-emit_readiness_if_changed (LcConfig *config, LbTime now, LbList *actions)
+append_readiness_action_if_changed (LcConfig *config, LbTime now, LbList *actions)
 {
   bool ready = lc_config_can_accept_work (config, now);
 
@@ -124,13 +124,13 @@
     return;
   config->ready = ready;
   lb_metric_set (&metric_ready, ready);
-  append_action (actions, LC_CONFIG_READINESS_CHANGED)->ready = ready;
+  append_config_action (actions, LC_CONFIG_READINESS_CHANGED)->ready = ready;
 }
 
 static LcConfigMessage *
 send_message (LbList *actions, const char *to, LcConfigMessageType type, int64_t revision)
 {
-  LcConfigAction *action = append_action (actions, LC_CONFIG_SEND);
+  LcConfigAction *action = append_config_action (actions, LC_CONFIG_SEND);
 
   LB_COPY (action->to, to);
   action->message.type = type;
@@ -171,7 +171,7 @@
   lc_resource_set_free (config->set);
   config->set = set;
   lb_metric_set (&metric_revision, set->revision);
-  append_action (actions, LC_CONFIG_ACTIVATED)->set = set;
+  append_config_action (actions, LC_CONFIG_ACTIVATED)->set = set;
   return true;
 }
 
@@ -239,10 +239,11 @@
   }
   if (!config->confirmed)
     query_all_peers (config, now, actions);
-  emit_readiness_if_changed (config, now, actions);
+  append_readiness_action_if_changed (config, now, actions);
 }
 
-/* Removes an instance that the platform reports as permanently removed. */
+/* Removes an instance that the platform reports as permanently removed, so that it no longer counts
+ * for the majority. */
 void
 lc_config_remove_instance (LcConfig *config, const char *instance)
 {
@@ -275,14 +276,14 @@
   if (read_at >= config->announced_at + LC_CONFIG_MAX_COMMIT_DURATION)
     config->settled_change = config->announced_change;
   config->next_poll_at = now + compute_jittered_poll_period (config);
-  emit_readiness_if_changed (config, now, actions);
+  append_readiness_action_if_changed (config, now, actions);
 }
 
 void
 lc_config_store_read_failed (LcConfig *config, LbTime now, LbList *actions)
 {
   config->next_poll_at = now + compute_jittered_poll_period (config);
-  emit_readiness_if_changed (config, now, actions);
+  append_readiness_action_if_changed (config, now, actions);
 }
 
 /* Activates and broadcasts the result of a change that this instance committed. Takes ownership of
@@ -303,7 +304,7 @@
     config->store_confirmed_at = committed_at;
   config->settled_change = config->announced_change;
   send_message (actions, "", LC_CONFIG_MESSAGE_CHANGE, revision)->body = json_object_get (change);
-  emit_readiness_if_changed (config, now, actions);
+  append_readiness_action_if_changed (config, now, actions);
 }
 
 /* Requests the whole set from a peer with a newer revision, at most once per LC_CONFIG_QUERY_PERIOD
@@ -424,7 +425,7 @@
       activate_peer_snapshot (config, peer, message, now, actions);
       break;
     }
-  emit_readiness_if_changed (config, now, actions);
+  append_readiness_action_if_changed (config, now, actions);
 }
 
 void
@@ -476,7 +477,7 @@
   if (now >= config->next_poll_at)
     {
       config->next_poll_at = now + compute_jittered_poll_period (config);
-      append_action (actions, LC_CONFIG_READ_STORE);
+      append_config_action (actions, LC_CONFIG_READ_STORE);
     }
   if (now >= config->next_query_at)
     {
@@ -487,5 +488,5 @@
       if (needs_confirmation)
         query_least_recently_queried_peers (config, now, actions);
     }
-  emit_readiness_if_changed (config, now, actions);
+  append_readiness_action_if_changed (config, now, actions);
 }
--- a/packages/core/src/config/lc-resources-private.h
+++ b/packages/core/src/config/lc-resources-private.h
@@ -8,8 +8,8 @@
 
 /* room: number of resources of each kind that can be added to the copy. */
 LcResourceSet *lc_resource_set_copy_with_room (const LcResourceSet *set, size_t room);
-/* Adds the resource in object, or replaces the one of the same kind and name. index: position in
- * the list of resources, for errors. */
+/* Adds the resource in object to the set, or replaces the set's resource of the same kind and name.
+ * index: position in the list of resources, for error messages. */
 bool lc_resource_set_put_resource (
     LcResourceSet *set, struct json_object *object, size_t index, const char *file, LbError *error);
 /* Removes a resource; returns false if the set has none of this kind and name. */
--- a/packages/core/src/rollout/lc-cursor.h
+++ b/packages/core/src/rollout/lc-cursor.h
@@ -9,7 +9,7 @@
 typedef struct
 {
   uint64_t session; /* session number of the owner that issued the cursor */
-  /* number of chunks of the step sent up to and including the chunk that this cursor came with */
+  /* number of chunks of the step sent so far, including the chunk that this cursor was sent with */
   int64_t chunk_number;
   size_t n_slots;
   uint8_t *bitmap; /* bit i is set if the trainer has received the sample of slot i */
--- a/packages/core/src/rollout/lc-deliver.c
+++ b/packages/core/src/rollout/lc-deliver.c
@@ -50,7 +50,7 @@
 /* Functions that reply to pulls. */
 
 static LcRolloutAction *
-reply_with_error (
+reply_to_pull_with_error (
     uint64_t pull_id, LbErrorCode code, const char *detail, LbTime retry_after, LbList *actions)
 {
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
@@ -73,16 +73,16 @@
 {
   LB_LIST_FOREACH (&step->waiting_pulls, LcWaitingPull, link, pull)
   {
-    reply_with_error (pull->id, error, "", retry_after, actions);
+    reply_to_pull_with_error (pull->id, error, "", retry_after, actions);
     remove_waiting_pull (step, pull);
   }
 }
 
 static void
-reply_with_chunk (const LcRollouts *rollouts,
-                  LcStep *step,
-                  const LcWaitingPull *pull,
-                  LbList *actions)
+reply_to_pull_with_chunk (const LcRollouts *rollouts,
+                          LcStep *step,
+                          const LcWaitingPull *pull,
+                          LbList *actions)
 {
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
   const LcChunk *chunk = &step->chunk;
@@ -99,10 +99,10 @@
 }
 
 static void
-reply_without_samples (const LcRollouts *rollouts,
-                       LcStep *step,
-                       const LcWaitingPull *pull,
-                       LbList *actions)
+reply_to_pull_without_samples (const LcRollouts *rollouts,
+                               LcStep *step,
+                               const LcWaitingPull *pull,
+                               LbList *actions)
 {
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_REPLY);
   LcCursor *cursor = &step->acked;
@@ -117,10 +117,10 @@
 
 /* Building and revoking chunks of samples. */
 
-/* Checks a sample independently of the code that chose it: its label must be complete, it must be
- * within the staleness bound, and it must not have been delivered before. Logs and counts a
- * violation; the caller must not deliver the sample then. An unlabelled or stale sample is
- * generated again. */
+/* Checks a sample independently of the code that chose the sample: its label must be complete (the
+ * weight version of each token is known), it must be within the staleness bound, and it must not
+ * have been delivered before. Logs and counts a violation; the caller must not deliver the sample
+ * then. An unlabelled or stale sample is generated again. */
 static bool
 check_sample_delivery_invariants (LcRollouts *rollouts,
                                   LcStep *step,
@@ -151,7 +151,7 @@
 }
 
 /* A group is delivered only once all its samples are complete, since a trainer can't learn from a
- * part of a group. Without group_release, the whole step must be complete. */
+ * part of a group. Unless the setting group_release is on, the whole step must be complete. */
 static bool
 can_deliver_group (const LcRollouts *rollouts, const LcStep *step, size_t group_index)
 {
@@ -270,8 +270,8 @@
   lc_step_set_slot_state (step, slot, LC_SLOT_ACKED);
 }
 
-/* Acknowledges the chunk of a strict subscription as soon as the chunk is sent: the ledger already
- * records the chunk as delivered, and the trainer sends no cursor. */
+/* Acknowledges the chunk of a strict subscription as soon as the chunk is sent, because the ledger
+ * already records the chunk as delivered, and the trainer sends no cursor. */
 static void
 acknowledge_strict_chunk (LcRollouts *rollouts, LcStep *step, LbTime now, LbList *actions)
 {
@@ -333,20 +333,21 @@
     {
       if (pull->wait_until > now)
         return false;
-      reply_with_error (pull->id, LB_ERROR_STORE_AWAY, "the ledger can't be written at present",
-                        STORE_RETRY_DELAY, actions);
+      reply_to_pull_with_error (pull->id, LB_ERROR_STORE_AWAY,
+                                "the ledger can't be written at present", STORE_RETRY_DELAY,
+                                actions);
       return true;
     }
   if (step->chunk.slots)
     {
-      reply_with_chunk (rollouts, step, pull, actions);
+      reply_to_pull_with_chunk (rollouts, step, pull, actions);
       if (has_strict_subscription (rollouts, step))
         acknowledge_strict_chunk (rollouts, step, now, actions);
       return true;
     }
   if (!all_delivered && pull->wait_until > now)
     return false;
-  reply_without_samples (rollouts, step, pull, actions);
+  reply_to_pull_without_samples (rollouts, step, pull, actions);
   return true;
 }
 
@@ -385,8 +386,8 @@
   return true;
 }
 
-/* Acknowledges all samples in the cursor, whichever owner of the step issued the cursor. Pulls that
- * still wait with an older cursor fail. */
+/* Acknowledges all samples in the trainer's cursor, whichever owner of the step issued the cursor.
+ * Pulls that still wait with an older cursor fail. */
 static void
 acknowledge_cursor (
     LcRollouts *rollouts, LcStep *step, const LcCursor *cursor, LbTime now, LbList *actions)
@@ -445,8 +446,8 @@
     ok = can_acknowledge_cursor (step, &cursor, &error);
   if (!ok || has_later_owner)
     {
-      reply_with_error (pull->id, has_later_owner ? LB_ERROR_STALE_SESSION : error.code,
-                        error.detail, 0, actions);
+      reply_to_pull_with_error (pull->id, has_later_owner ? LB_ERROR_STALE_SESSION : error.code,
+                                error.detail, 0, actions);
       goto out;
     }
   if (!strict)
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -10,7 +10,8 @@
 #define SCORING_TIMEOUT (30 * LB_SEC)
 #define BYTES_PER_TOKEN 4 /* estimated length of a token, to count the tokens of a prompt */
 #define MAX_PRIORITY 10
-/* bonus that lets one sample of each group start early, in multiples of the mean sample length */
+/* factor of the bonus that lets one sample of each group start early, in multiples of the mean
+ * sample length; see compute_group_scheduling_score */
 #define EXPLORATION_WEIGHT 2.0
 
 /* Prediction of sample lengths. */
@@ -190,8 +191,8 @@
   spec->resume_at = job->resume_offset;
 }
 
-/* Excludes an endpoint for the request. A hedge must not run on the endpoint of the original
- * request, and a migrated sample must not return to its slow endpoint. */
+/* Excludes an endpoint for the request, because a hedge must not run on the endpoint of the
+ * original request, and a migrated sample must not return to the endpoint that was slow with it. */
 static void
 add_avoided_endpoint (LcRequestSpec *spec, const char *endpoint)
 {
@@ -249,7 +250,7 @@
 }
 
 static void
-start_scoring (LcRollouts *rollouts, LcStep *step, LcSlot *slot, LbTime now, LbList *actions)
+start_slot_scoring (LcRollouts *rollouts, LcStep *step, LcSlot *slot, LbTime now, LbList *actions)
 {
   const LcTrainer *trainer = lc_rollouts_find_trainer (rollouts, step->spec.subscription);
   LcRolloutAction *action = lc_rollouts_add_action (actions, LC_ROLLOUT_SCORE);
@@ -282,7 +283,7 @@
       if (slot->state != LC_SLOT_SCORING || !lb_list_is_empty (&slot->jobs))
         continue;
       if (slot->not_before <= now)
-        start_scoring (rollouts, step, slot, now, actions);
+        start_slot_scoring (rollouts, step, slot, now, actions);
       else if (slot->not_before < step->retry_at)
         step->retry_at = slot->not_before;
     }
--- a/packages/core/src/rollout/lc-job.h
+++ b/packages/core/src/rollout/lc-job.h
@@ -3,7 +3,8 @@
 
 #include "lc-rollouts-state.h"
 
-/* Jobs: running requests (generations and scorings) of a step's slots. */
+/* This header declares jobs. A job is a running request (a generation or a scoring) of a slot, the
+ * place of one sample in a step. */
 
 LcJob *lc_job_new (LcRollouts *rollouts, LcStep *step, LcSlot *slot, LbTime now);
 void lc_job_free (LcRollouts *rollouts, LcJob *job);
--- a/packages/core/src/rollout/lc-label.c
+++ b/packages/core/src/rollout/lc-label.c
@@ -23,8 +23,9 @@
   lc_label_add_tokens_kv_reused (label, offset, tokens, version, 0);
 }
 
-/* A gap or an overlap means that tokens of two generations are mixed, and a missing version can't
- * be derived from other data. The label would be wrong, so it becomes unlabelled for good. */
+/* A gap or an overlap in the offsets means that tokens of two generations are mixed, and a missing
+ * weight version can't be derived from other data. The label would be wrong, so it becomes
+ * unlabelled for good. */
 void
 lc_label_add_tokens_kv_reused (
     LcLabel *label, int64_t offset, int64_t tokens, LcVersion version, LcVersion kv_reused_version)
--- a/packages/core/src/rollout/lc-ledger.h
+++ b/packages/core/src/rollout/lc-ledger.h
@@ -3,15 +3,16 @@
 
 #include "lb-error.h"
 
-/* Schedules the writes of a step's ledger, the row in the store that records which samples of the
- * step were delivered. Each write replaces the row, and at most one write is in progress. */
+/* This header declares the scheduling of writes of a step's ledger, the row in the store that
+ * records which samples of the step were delivered. Each write replaces the row, and at most one
+ * write is in progress. */
 typedef struct
 {
   uint64_t latest_change;  /* number of the latest change to be written to the row */
   uint64_t writing_change; /* latest change included in the write in progress; 0: no write */
   uint64_t stored_change;  /* latest change that this owner has successfully written */
   uint64_t write_id;       /* id of the write in progress; 0: no write */
-  /* write without a batching delay, since a delivery waits for the write */
+  /* the next write starts without a batching delay, because a delivery waits for that write */
   bool urgent;
   int consecutive_failures;
   LbTime last_write_at; /* when the last write started */
--- a/packages/core/src/rollout/lc-result.c
+++ b/packages/core/src/rollout/lc-result.c
@@ -21,7 +21,8 @@
                                                      "reason=\"unlabelled\"",
                                                      "Samples discarded to be generated again");
 
-/* Exponential backoff with full jitter, so that slots that failed together don't retry together. */
+/* Delays the slot's next request by exponential backoff with full jitter, so that slots that failed
+ * together don't retry together. */
 static void
 delay_slot_retry (LcRollouts *rollouts, LcStep *step, LcSlot *slot, LbTime now)
 {
@@ -49,8 +50,8 @@
 
 /* Processing the pieces and the end of a generation. */
 
-/* Frees the job and discards the tokens that it generated. The slot returns to state WAITING unless
- * the other job of a hedged pair still runs. */
+/* Frees a job that gave no usable sample and discards the tokens that the job generated. The slot
+ * returns to state WAITING unless the other job of a hedged pair still runs. */
 static void
 end_unsuccessful_job (LcRollouts *rollouts, LcJob *job, LbTime now, bool should_back_off)
 {
@@ -79,11 +80,11 @@
   end_unsuccessful_job (rollouts, job, now, true);
 }
 
-/* Removes the spans of a failed attempt from the label when another endpoint generates again from
- * the resume offset. Not for the same endpoint: if its stream returns to the resume offset, tokens
- * may be repeated, and the label must record the overlap. */
+/* Removes from the job's label the spans after the resume offset, when another endpoint generates
+ * again from this offset. Not for the same endpoint: if its stream returns to the resume offset,
+ * tokens may be repeated, and the label must record the overlap. */
 static void
-reset_label_to_resume_offset (LcJob *job)
+truncate_job_label_to_resume_offset (LcJob *job)
 {
   LcLabel *label = &job->label;
 
@@ -114,7 +115,7 @@
     job->first_piece_at = now;
   if (has_new_endpoint && piece->tokens > 0 && piece->offset == job->resume_offset
       && lc_job_count_generated_tokens (job) > 0)
-    reset_label_to_resume_offset (job);
+    truncate_job_label_to_resume_offset (job);
   lc_label_add_tokens_kv_reused (&job->label, piece->offset, piece->tokens, piece->version,
                                  piece->kv_reused_version);
   job->step->status.tokens += piece->tokens > 0 ? piece->tokens : 0;
--- a/packages/core/src/rollout/lc-result.h
+++ b/packages/core/src/rollout/lc-result.h
@@ -3,7 +3,8 @@
 
 #include "lc-job.h"
 
-/* Records the results of engines and scorers in the slots of a step. */
+/* This header declares how the results of engines and scorers are recorded in the slots of a
+ * step. */
 
 void lc_result_add_generated_piece (LcRollouts *rollouts,
                                     LcJob *job,
--- a/packages/core/src/rollout/lc-review.c
+++ b/packages/core/src/rollout/lc-review.c
@@ -36,7 +36,8 @@
   return slot->state == LC_SLOT_RUNNING && slot->jobs.length == 1 && !job->is_preempted;
 }
 
-/* Returns the running sample with the largest gain, in seconds; NULL if no gain is above 0. */
+/* Returns the running sample for which gain_function estimates the largest gain, in seconds; NULL
+ * if no gain is above 0. */
 static LcJob *
 pick_straggler (LcRollouts *rollouts, LcStep *step, GainFunction gain_function, LbTime now)
 {
--- a/packages/core/src/rollout/lc-review.h
+++ b/packages/core/src/rollout/lc-review.h
@@ -3,8 +3,9 @@
 
 #include "lc-job.h"
 
-/* Detects stragglers among the step's running samples: migrates those on slow endpoints, and hedges
- * remaining ones once no slot of the step waits for a generation. */
+/* This header declares the check for stragglers among a step's running samples: migrates those on
+ * slow endpoints, and hedges the remaining stragglers once no slot of the step waits for a
+ * generation. */
 void lc_review_migrate_or_hedge_stragglers (LcRollouts *rollouts,
                                             LcStep *step,
                                             LbTime now,
--- a/packages/core/src/rollout/lc-rollouts.c
+++ b/packages/core/src/rollout/lc-rollouts.c
@@ -17,7 +17,8 @@
  * engine idles until its next request arrives. */
 #define QUEUE_AHEAD_FACTOR 1.1
 #define DEFAULT_MAX_RUNNING 64 /* concurrent generations of a pool without known engines */
-/* Time for which a fully acknowledged step is kept, to answer a late repeat of its last pull. */
+/* Time for which a step is kept after all its samples were acknowledged, to answer a late repeat of
+ * the step's last pull. */
 #define CLOSED_STEP_RETENTION (300 * LB_SEC)
 #define DEFAULT_PAUSE_LIMIT LB_SEC
 /* Maximum time between ticks while a step is open. Well below the pause limit, so that an idle
@@ -165,9 +166,9 @@
   return NULL;
 }
 
-/* Called first by every function that changes the state. Frees the memory that actions of the
- * previous call pointed to. If the process was paused, requires a ledger write of each step, which
- * confirms that this instance still owns the step. */
+/* Called first by every function that changes an LcRollouts. Frees the memory that actions of the
+ * previous call pointed to. If the process was paused since that call, requires a ledger write of
+ * each step, which confirms that this instance still owns the step. */
 static void
 free_deferred_memory_and_detect_pause (LcRollouts *rollouts, LbTime now)
 {
@@ -236,8 +237,8 @@
       trainer = LB_NEW (LcTrainer);
       lb_list_append (&rollouts->trainers, &trainer->link);
     }
-  /* Running generations are counted per pool, so a trainer keeps its pool while it has running
-   * generations. */
+  /* Running generations are counted in the trainer's pool, so the trainer keeps this pool while it
+   * has running generations. */
   LbName pool;
   LB_COPY (pool, trainer->n_running > 0 ? trainer->subscription.pool : subscription->pool);
   trainer->subscription = *subscription;
@@ -557,8 +558,8 @@
   free_deferred_memory_and_detect_pause (rollouts, now);
   if (!step)
     return;
-  /* These errors mean that another instance has taken over the step, and may deliver the samples
-   * that this instance still has. */
+  /* These errors mean that another instance has taken over the step and may deliver the samples
+   * that this instance still has, so this instance drops the step. */
   if (error == LB_ERROR_CONDITION_FAILED || error == LB_ERROR_STALE_SESSION)
     {
       lc_rollouts_abort_step (rollouts, step->spec.subscription, step->spec.step, now, actions);
--- a/packages/core/src/rollout/lc-staleness.c
+++ b/packages/core/src/rollout/lc-staleness.c
@@ -16,10 +16,10 @@
   return (int64_t)(seconds * LB_SEC / (double)policy->version_interval);
 }
 
-/* The trainer advances while a sample is generated, so the lag allowed at the start is max_lag
- * minus the number of versions expected until the end. A smaller idle_weight reduces this lag, for
- * fresher samples at the cost of idle time. The result never exceeds the newest version, which some
- * engine serves. */
+/* The trainer's version advances while a sample is generated, so at the start the oldest version
+ * may be behind the trainer's version only by max_lag minus the number of versions expected until
+ * the end. A smaller idle_weight reduces this lag further, for fresher samples at the cost of idle
+ * time. The result never exceeds the newest version, which some engine serves. */
 LcVersion
 lc_staleness_min_version_for_duration (const LcStalenessPolicy *policy, double seconds)
 {
--- a/packages/core/src/rollout/lc-staleness.h
+++ b/packages/core/src/rollout/lc-staleness.h
@@ -6,8 +6,10 @@
 /* A trainer's staleness bound and the known weight versions of the trainer and its pool. */
 typedef struct
 {
-  int64_t max_lag;           /* largest allowed staleness, in versions; INT64_MAX: no bound */
-  double idle_weight;        /* from 0 (avoid staleness) to 1 (avoid idle time) */
+  int64_t max_lag; /* largest allowed staleness, in versions; INT64_MAX: no bound */
+  /* weight of the trainer's idle time against staleness: 0 (avoid staleness) to 1 (avoid idle
+   * time) */
+  double idle_weight;
   LcVersion trainer_version; /* latest version that the trainer reported; 0: none */
   LcVersion newest_version;  /* newest version that an engine of the pool may serve; 0: unknown */
   LbTime version_interval;   /* time between new weight versions; 0: unknown */
--- a/packages/core/src/rollout/lc-step.c
+++ b/packages/core/src/rollout/lc-step.c
@@ -48,7 +48,7 @@
 }
 
 static size_t
-count_slots (const LcStepSpec *spec)
+count_slots_of_step_spec (const LcStepSpec *spec)
 {
   size_t count = 0;
 
@@ -87,7 +87,7 @@
   step->deferred_free = deferred_free;
   step->session = session;
   step->retry_at = LB_TIME_NEVER;
-  step->n_slots = count_slots (&step->spec);
+  step->n_slots = count_slots_of_step_spec (&step->spec);
   step->slots = LB_NEW_ARRAY (LcSlot, step->n_slots);
   step->groups = LB_NEW_ARRAY (LcGroup, step->spec.n_groups);
   step->n_in_state[LC_SLOT_WAITING] = step->n_slots;
--- a/packages/core/src/rollout/lc-step.h
+++ b/packages/core/src/rollout/lc-step.h
@@ -55,7 +55,7 @@
   LcLabel *label; /* weight versions that generated the text */
   bool has_score;
   double score;
-  bool was_sent; /* this owner has put the sample into a chunk */
+  bool was_sent; /* the current owner of the step has put the sample into a chunk */
   int n_migrations;
   LbName avoid_endpoint; /* endpoint that was slow with this sample; empty: none */
   int consecutive_failures;
@@ -104,15 +104,17 @@
   size_t n_in_state[LC_N_SLOT_STATES];
   LcVersion trainer_version; /* latest version that the trainer reported */
 
-  LcCursor acked; /* slots that the trainer has acknowledged */
+  LcCursor acked; /* slots whose samples the trainer has acknowledged */
   LcChunk chunk;
   LbList waiting_pulls;            /* list of LcWaitingPull */
   LcLedger ledger;                 /* schedules writes of acked and chunk to the store */
   uint64_t required_ledger_change; /* ledger change that must be stored before the next delivery */
 
-  int64_t reserved_tokens; /* number of tokens that the running hedges are expected to waste */
+  /* number of tokens of the step's hedge budget that its running hedges reserve, as their
+   * expected waste */
+  int64_t reserved_tokens;
   LbTime next_review_at;
-  LbTime retry_at;  /* earliest not_before of the slots that wait for a retry */
+  LbTime retry_at;  /* earliest not_before of the step's slots that wait for a retry */
   LbTime closed_at; /* when the last sample was acknowledged; 0: step still open */
   LcStepStatus status;
 };
--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -18,8 +18,9 @@
 {
   TICKET_UNUSED,
   TICKET_RUNNING,
-  TICKET_ANSWERED, /* the call has ended, and its answer is stored */
-  TICKET_SPENT     /* the call may have run, and no answer is stored */
+  TICKET_ANSWERED, /* the ticket's call has ended, and the answer of the call is stored */
+  /* the ticket's call may have run, and no answer is stored, so the ticket can't be used again */
+  TICKET_SPENT
 } TicketState;
 
 typedef struct
@@ -30,7 +31,7 @@
   LbLink answered_link;      /* in LcTickets.answered, oldest first, while the answer is stored */
   uint64_t number;
   uint64_t caller_hash;
-  uint64_t content_hash; /* hash of the call, set when a call first uses the ticket */
+  uint64_t content_hash; /* hash of the call's content, set when a call first uses the ticket */
   LcRequestId request;
   LbTime expires_at;
   TicketState state;
@@ -69,7 +70,7 @@
 }
 
 static void
-free_stored_answer (LcTickets *tickets, Ticket *ticket)
+free_ticket_answer (LcTickets *tickets, Ticket *ticket)
 {
   if (lb_link_is_in_list (&ticket->answered_link))
     lb_list_remove (&tickets->answered, &ticket->answered_link);
@@ -82,7 +83,7 @@
 static void
 remove_ticket (LcTickets *tickets, Ticket *ticket)
 {
-  free_stored_answer (tickets, ticket);
+  free_ticket_answer (tickets, ticket);
   if (lb_link_is_in_list (&ticket->expiry_link))
     lb_list_remove (&tickets->by_expiry, &ticket->expiry_link);
   /* The analyzer assumes that the tables may be empty although they hold the ticket.
@@ -117,7 +118,7 @@
 }
 
 static void
-schedule_expiry (LcTickets *tickets, Ticket *ticket, LbTime now)
+schedule_ticket_expiry (LcTickets *tickets, Ticket *ticket, LbTime now)
 {
   ticket->expires_at = now + tickets->limits.lifetime;
   lb_list_append (&tickets->by_expiry, &ticket->expiry_link);
@@ -139,7 +140,7 @@
   ticket->number = ++tickets->n_issued << TICKET_RANDOM_BITS | random_part;
   ticket->caller_hash = hash_caller (caller);
   HASH_ADD (hh, tickets->tickets, number, sizeof ticket->number, ticket);
-  schedule_expiry (tickets, ticket, now);
+  schedule_ticket_expiry (tickets, ticket, now);
   snprintf (text, LC_TICKET_SIZE, "%s.%s.%016" PRIx64, tickets->instance, tickets->incarnation,
             ticket->number);
   return true;
@@ -164,7 +165,7 @@
 
 /* Splits "INSTANCE.INCARNATION.NUMBER" at the last two dots, since instance names may have dots. */
 static bool
-parse_ticket (const char *text, LcTicketDecision *decision, uint64_t *number)
+parse_ticket_text (const char *text, LcTicketDecision *decision, uint64_t *number)
 {
   char copy[LC_TICKET_SIZE];
 
@@ -190,7 +191,7 @@
 /* A ticket that was never issued can't have run its call. A ticket that was issued but is not found
  * has expired; reporting its call as "not run" could make the caller run the call twice. */
 static LbErrorCode
-error_code_of_missing_ticket (const LcTickets *tickets, uint64_t number)
+choose_error_of_missing_ticket (const LcTickets *tickets, uint64_t number)
 {
   uint64_t sequence = number >> TICKET_RANDOM_BITS;
 
@@ -250,7 +251,7 @@
   Ticket *ticket = NULL;
 
   lc_tickets_remove_expired (tickets, now);
-  if (!parse_ticket (text, &decision, &number))
+  if (!parse_ticket_text (text, &decision, &number))
     return reject_call (LB_ERROR_UNKNOWN_TICKET);
   if (strcmp (decision.instance, tickets->instance) != 0)
     return decision;
@@ -259,14 +260,14 @@
     return reject_call (LB_ERROR_OUTCOME_UNKNOWN);
   HASH_FIND (hh, tickets->tickets, &number, sizeof number, ticket);
   if (!ticket)
-    return reject_call (error_code_of_missing_ticket (tickets, number));
+    return reject_call (choose_error_of_missing_ticket (tickets, number));
   if (ticket->caller_hash != hash_caller (caller))
     return reject_call (LB_ERROR_UNKNOWN_TICKET);
   return redeem_known_ticket (tickets, ticket, content_hash, request);
 }
 
-/* Frees the oldest answers until a new one of answer_length bytes fits. Tickets whose answer is
- * freed become TICKET_SPENT, so that their calls don't run again. */
+/* Frees the oldest stored answers until a new answer of answer_length bytes fits. Tickets whose
+ * answer is freed become TICKET_SPENT, so that their calls don't run again. */
 static void
 evict_oldest_answers (LcTickets *tickets, size_t answer_length)
 {
@@ -275,13 +276,13 @@
   while (tickets->answer_bytes + answer_length > tickets->limits.max_answer_bytes
          && (ticket = LB_LIST_FIRST (&tickets->answered, Ticket, answered_link)))
     {
-      free_stored_answer (tickets, ticket);
+      free_ticket_answer (tickets, ticket);
       ticket->state = TICKET_SPENT;
     }
 }
 
 static void
-store_answer (
+store_ticket_answer (
     LcTickets *tickets, Ticket *ticket, int status, const char *answer, size_t answer_length)
 {
   evict_oldest_answers (tickets, answer_length);
@@ -315,10 +316,10 @@
     return;
   HASH_DELETE (hh_request, tickets->running, ticket);
   if (error == LB_OK)
-    store_answer (tickets, ticket, status, answer, answer_length);
+    store_ticket_answer (tickets, ticket, status, answer, answer_length);
   else
     ticket->state = lb_error_proves_request_not_run (error) ? TICKET_UNUSED : TICKET_SPENT;
-  schedule_expiry (tickets, ticket, now);
+  schedule_ticket_expiry (tickets, ticket, now);
 }
 
 /* Removes expired tickets. Tickets of running calls don't expire. */
--- a/packages/core/src/usage/lc-usage-reports.c
+++ b/packages/core/src/usage/lc-usage-reports.c
@@ -11,8 +11,8 @@
 /* Time after a store failure before rows are summed, so that instances can repeat failed writes and
  * late writes can arrive. */
 #define STORE_RECOVERY_DELAY (1500 * LB_MSEC)
-/* Largest number of windows reported late after no instance held the reporting duty. Older windows
- * are not reported. */
+/* Largest number of windows that are reported late after a time in which no instance held the
+ * reporting duty. Windows older than these are not reported. */
 #define MAX_CATCH_UP_WINDOWS 24
 
 typedef enum
@@ -237,8 +237,8 @@
     window->state = WINDOW_CLOSED;
 }
 
-/* Adds the windows that are not known yet. Every window from the first one in the store to the
- * current one must be reported. */
+/* Adds the windows that are missing from the list, because every window from the first one in the
+ * store to the current one must be reported. */
 static void
 add_unknown_windows_up_to_current (LcUsageReports *reports, int64_t current)
 {
@@ -252,7 +252,7 @@
 }
 
 static void
-remove_windows_before_first (LcUsageReports *reports)
+remove_windows_before_first_to_report (LcUsageReports *reports)
 {
   LB_LIST_FOREACH (&reports->windows, Window, link, window)
   {
@@ -328,7 +328,7 @@
   if (!reports->has_read)
     return begin_reading_recorded_reports (reports, now, action);
   add_unknown_windows_up_to_current (reports, current);
-  remove_windows_before_first (reports);
+  remove_windows_before_first_to_report (reports);
   for (int64_t window_number = reports->first_window; window_number <= current; window_number++)
     {
       Window *window = find_window (reports, window_number);
--- a/packages/core/src/usage/lc-usage.c
+++ b/packages/core/src/usage/lc-usage.c
@@ -26,7 +26,8 @@
   LbLink link;
   int64_t number;
   LcUsageCounts *counts;
-  bool changed; /* counts have changed since lc_usage_next_row last returned the window's row */
+  /* counts have changed since lc_usage_next_row last returned the row of this window */
+  bool changed;
   bool is_being_written;
   LbTime next_row_at;
 } Window;
--- a/packages/core/src/weights/lc-engine-plan.c
+++ b/packages/core/src/weights/lc-engine-plan.c
@@ -64,7 +64,7 @@
 }
 
 static bool
-has_engine_at (const LcEnginePlan *plan, size_t position, const char *engine)
+has_plan_entry_at (const LcEnginePlan *plan, size_t position, const char *engine)
 {
   return position < plan->n_entries && strcmp (plan->entries[position].engine, engine) == 0;
 }
@@ -74,7 +74,7 @@
 {
   size_t position = find_engine_position (plan, engine);
 
-  return has_engine_at (plan, position, engine) ? &plan->entries[position] : NULL;
+  return has_plan_entry_at (plan, position, engine) ? &plan->entries[position] : NULL;
 }
 
 static bool
@@ -85,7 +85,7 @@
 }
 
 static void
-insert_entry_at (LcEnginePlan *plan, size_t position, const LcPlanEntry *entry)
+insert_plan_entry_at (LcEnginePlan *plan, size_t position, const LcPlanEntry *entry)
 {
   plan->entries = lb_realloc (plan->entries, (plan->n_entries + 1) * sizeof *plan->entries);
   memmove (&plan->entries[position + 1], &plan->entries[position],
@@ -99,9 +99,9 @@
 {
   size_t position = find_engine_position (plan, entry->engine);
 
-  if (!has_engine_at (plan, position, entry->engine))
+  if (!has_plan_entry_at (plan, position, entry->engine))
     {
-      insert_entry_at (plan, position, entry);
+      insert_plan_entry_at (plan, position, entry);
       return true;
     }
   bool changed = !is_same_plan_entry (&plan->entries[position], entry);
@@ -146,7 +146,7 @@
 }
 
 static size_t
-plan_part_index_of_engine (const char *engine)
+get_plan_part_index_of_engine (const char *engine)
 {
   return XXH3_64bits (engine, strlen (engine)) % LC_ENGINE_PLAN_PARTS;
 }
@@ -165,7 +165,7 @@
 {
   memset (part, 0, sizeof *part);
   for (size_t i = 0; i < plan->n_entries; i++)
-    if (plan_part_index_of_engine (plan->entries[i].engine) == index)
+    if (get_plan_part_index_of_engine (plan->entries[i].engine) == index)
       append_plan_entries (part, &plan->entries[i], 1);
 }
 
@@ -379,8 +379,8 @@
       }
 }
 
-/* Writes the assignment to the plan. An entry that changes its model loses its version, which
- * belonged to the previous model. */
+/* Writes the assignment of engines to models to the plan. When the model of an entry changes, the
+ * entry loses its weight version, which belonged to the previous model. */
 static bool
 store_assignment_in_plan (LcEnginePlan *plan, const LcPlanEntry *engines, size_t n_engines)
 {
--- a/packages/core/src/weights/lc-load-time.c
+++ b/packages/core/src/weights/lc-load-time.c
@@ -2,8 +2,8 @@
 
 #include "lb-time.h"
 
-/* Mean load time assumed before the first sample: engines take about 0.9 s to load, and report the
- * end 0.2 s later. */
+/* Mean load time assumed until the end of the first load: engines take about 0.9 s to load, and
+ * report the end 0.2 s later. */
 #define INITIAL_MEAN_LOAD_TIME (1100 * LB_MSEC)
 #define LOAD_TIME_EWMA_WEIGHT 0.2 /* weight of the latest sample in the moving average */
 /* Delay of the first poll as a fraction of the mean load time. The mean includes the time until a
@@ -13,7 +13,8 @@
  * polls. */
 #define FIRST_POLL_DELAY_FACTOR 0.96
 #define POLL_INTERVAL_FACTOR 0.045 /* interval of further polls, fraction of the mean load time */
-/* A shorter interval does not help, since an engine takes several ms to answer a poll. */
+/* A shorter poll interval does not detect the end of a load earlier, since an engine takes several
+ * ms to answer a poll. */
 #define MIN_POLL_INTERVAL (40 * LB_MSEC)
 
 void
@@ -25,7 +26,7 @@
 }
 
 static LbTime
-mean_load_time (const LcLoadTime *load)
+get_mean_load_time (const LcLoadTime *load)
 {
   return load->mean > 0 ? load->mean : INITIAL_MEAN_LOAD_TIME;
 }
@@ -33,12 +34,12 @@
 LbTime
 lc_load_time_first_poll_delay (const LcLoadTime *load)
 {
-  return (LbTime)(FIRST_POLL_DELAY_FACTOR * (double)mean_load_time (load));
+  return (LbTime)(FIRST_POLL_DELAY_FACTOR * (double)get_mean_load_time (load));
 }
 
 LbTime
 lc_load_time_poll_interval (const LcLoadTime *load)
 {
-  return lb_time_later ((LbTime)(POLL_INTERVAL_FACTOR * (double)mean_load_time (load)),
+  return lb_time_later ((LbTime)(POLL_INTERVAL_FACTOR * (double)get_mean_load_time (load)),
                         MIN_POLL_INTERVAL);
 }
--- a/packages/core/src/weights/lc-swap-turns.c
+++ b/packages/core/src/weights/lc-swap-turns.c
@@ -8,7 +8,7 @@
  * shares: otherwise the first of several equal models would get all loads, and the next step of
  * another model would find none of its engines ready. */
 static double
-score_usable_engine_share (const LcWeightsStatus *status)
+score_usable_engine_share_of_model (const LcWeightsStatus *status)
 {
   double engines = (double)status->engines;
 
@@ -17,7 +17,7 @@
 }
 
 static bool
-is_candidate_for_load (const LcSwapCandidate *candidate)
+can_model_start_load (const LcSwapCandidate *candidate)
 {
   const LcWeightsStatus *status = &candidate->status;
 
@@ -31,10 +31,10 @@
   size_t least_ready = n;
 
   for (size_t i = 0; i < n; i++)
-    if (is_candidate_for_load (&candidates[i])
+    if (can_model_start_load (&candidates[i])
         && (least_ready == n
-            || score_usable_engine_share (&candidates[i].status)
-                   < score_usable_engine_share (&candidates[least_ready].status)))
+            || score_usable_engine_share_of_model (&candidates[i].status)
+                   < score_usable_engine_share_of_model (&candidates[least_ready].status)))
       least_ready = i;
   return least_ready;
 }
--- a/packages/core/src/weights/lc-weights.c
+++ b/packages/core/src/weights/lc-weights.c
@@ -48,7 +48,9 @@
   LcWeightsSettings settings;
   Engine *engines;
   LcVersion newest;
-  LcVersion pinned_version; /* weight_version of the pool; 0: the newest version is the target */
+  /* weight_version of the pool's configuration; 0: none is set, so the newest version is the
+   * target */
+  LcVersion pinned_version;
   LcVersion target;
   double live_reserve;
   int64_t roll_out_percent;
@@ -195,7 +197,7 @@
 }
 
 static LbTime
-next_moving_average (LbTime previous, LbTime latest)
+compute_next_moving_average (LbTime previous, LbTime latest)
 {
   return (LbTime)(MOVING_AVERAGE_WEIGHT * latest + (1 - MOVING_AVERAGE_WEIGHT) * previous);
 }
@@ -209,9 +211,10 @@
   if (weights->newest > 0)
     {
       LbTime interval = (now - weights->newest_at) / (version - weights->newest);
-      weights->version_interval = weights->version_interval == 0
-                                      ? interval
-                                      : next_moving_average (weights->version_interval, interval);
+      weights->version_interval
+          = weights->version_interval == 0
+                ? interval
+                : compute_next_moving_average (weights->version_interval, interval);
     }
   weights->newest = version;
   weights->newest_at = now;
@@ -251,7 +254,7 @@
 }
 
 static void
-record_load_failure (Engine *engine, LbTime now)
+record_engine_load_failure (Engine *engine, LbTime now)
 {
   LbTime backoff = INITIAL_RETRY_BACKOFF;
 
@@ -278,18 +281,18 @@
  * backoff, such an order would be repeated at once and keep all other engines from being
  * ordered. */
 static void
-finish_load_order (LcWeights *weights, Engine *engine, LbTime now)
+finish_pending_load_order (LcWeights *weights, Engine *engine, LbTime now)
 {
   if (engine->ordered_version == 0)
     return;
   if (engine->report.version == engine->ordered_version)
     weights->mean_load_time
-        = next_moving_average (weights->mean_load_time, now - engine->ordered_at);
+        = compute_next_moving_average (weights->mean_load_time, now - engine->ordered_at);
   else
     {
       /* Version 0 means that no version is loaded; it does not count as an unexpected version. */
       lb_metric_add (&metric_unexpected_versions, engine->report.version > 0);
-      record_load_failure (engine, now);
+      record_engine_load_failure (engine, now);
     }
   engine->ordered_version = 0;
 }
@@ -297,7 +300,7 @@
 /* Handles a report of a load in progress. A load that hangs must not count against the limit of
  * concurrent swaps forever. */
 static void
-record_load_in_progress (const LcWeights *weights, Engine *engine, LbTime now)
+record_reported_load_in_progress (const LcWeights *weights, Engine *engine, LbTime now)
 {
   if (engine->loading_since == 0)
     engine->loading_since = now;
@@ -307,14 +310,14 @@
       return;
     }
   if (engine->ordered_version != 0)
-    record_load_failure (engine, now);
+    record_engine_load_failure (engine, now);
   set_engine_state (engine, ENGINE_UNKNOWN, now);
 }
 
-/* Returns true if the report was requested before the pending order, or too early to show the
- * ordered load. */
+/* Returns true if the report was requested before the pending load order, or so soon after it that
+ * the report may not show the load yet. */
 static bool
-is_report_older_than_order (const Engine *engine, const LcWeightReport *report)
+is_report_too_old_to_show_order (const Engine *engine, const LcWeightReport *report)
 {
   return engine->ordered_version != 0 && !report->loading
          && report->version != engine->ordered_version
@@ -332,16 +335,16 @@
       || report->requested_at < engine->report.requested_at)
     return;
   engine->last_report_at = now;
-  if (is_report_older_than_order (engine, report))
+  if (is_report_too_old_to_show_order (engine, report))
     return;
   engine->report = *report;
   if (report->loading)
     {
-      record_load_in_progress (weights, engine, now);
+      record_reported_load_in_progress (weights, engine, now);
       return;
     }
   engine->loading_since = 0;
-  finish_load_order (weights, engine, now);
+  finish_pending_load_order (weights, engine, now);
   if (report->version == weights->target)
     engine->failures = 0;
   engine->target_failed = report->failed_version > 0 && report->failed_version == weights->target;
@@ -350,8 +353,9 @@
     append_routing_update (engine, false, now, actions);
 }
 
-/* After an error it is unknown whether the engine accepted the order. Its state stays unknown until
- * a report that is requested from now on, since earlier ones may not show the order yet. */
+/* After an error, it is unknown whether the engine accepted the order. The engine's state stays
+ * unknown until a report that is requested from now on, since earlier reports may not show the
+ * order yet. */
 void
 lc_weights_order_answered (LcWeights *weights, const char *name, LbErrorCode error, LbTime now)
 {
@@ -359,7 +363,7 @@
 
   if (!engine || error == LB_OK || engine->ordered_version == 0)
     return;
-  record_load_failure (engine, now);
+  record_engine_load_failure (engine, now);
   set_engine_state (engine, ENGINE_UNKNOWN, now);
   engine->report.requested_at = now;
 }
@@ -371,7 +375,8 @@
     set_engine_state (engine, ENGINE_UNKNOWN, now);
 }
 
-/* Summary of the engines of the pool. Capacity is in concurrent requests. */
+/* Summary of the engines of the pool. Capacity is the number of requests that the engines can
+ * process concurrently. */
 typedef struct
 {
   int64_t capacity;
@@ -479,7 +484,7 @@
  * they serve no one; then those with the oldest version, so that none starves if versions come
  * faster than a roll-out takes; then the least busy. */
 static bool
-should_load_before (const LcWeights *weights, const Engine *a, const Engine *b)
+should_engine_load_before (const LcWeights *weights, const Engine *a, const Engine *b)
 {
   if (!b)
     return true;
@@ -523,14 +528,14 @@
         *reason = halted ? LC_WEIGHTS_HALTED : LC_WEIGHTS_BACKOFF;
       else if (!swap_leaves_enough_capacity (weights, pool, engine))
         *reason = LC_WEIGHTS_CAPACITY;
-      else if (should_load_before (weights, engine, best))
+      else if (should_engine_load_before (weights, engine, best))
         best = engine;
     }
   return best;
 }
 
 static void
-order_load (LcWeights *weights, Engine *engine, LbTime now, LbList *actions)
+order_engine_load (LcWeights *weights, Engine *engine, LbTime now, LbList *actions)
 {
   LcWeightsAction *action = LB_NEW (LcWeightsAction);
 
@@ -595,7 +600,7 @@
           weights->wait_reason = LC_WEIGHTS_RATE_LIMITED;
           return;
         }
-      order_load (weights, engine, now, actions);
+      order_engine_load (weights, engine, now, actions);
     }
 }
 
