--- a/packages/core/include/lc-batch.h
+++ b/packages/core/include/lc-batch.h
@@ -71,9 +71,9 @@
   LC_BATCH_GENERATE, /* submit the item's generation request under the id `request` */
   LC_BATCH_SCORE,    /* submit the item's scoring request under the id `request` */
   LC_BATCH_CANCEL,   /* cancel the request with the id `request` */
-  /* Cancel the request with the id `request`, so that another endpoint continues the text after the
-   * last piece that was added; then call lc_batch_finish_generation with LB_ERROR_CLOSED. Add no
-   * piece of the request after that call. */
+  /* Cancel the request with the id `request`, then call lc_batch_finish_generation with
+   * LB_ERROR_CLOSED. Add no piece of the request after that call, because another endpoint
+   * continues the text after the last added piece. */
   LC_BATCH_PREEMPT,
   LC_BATCH_WRITE_RESULTS, /* write `results`, then call lc_batch_finish_result_write */
   /* Save `parts`, the events added since the last checkpoint, for the next owner of the batch; then
@@ -88,8 +88,7 @@
   LcRequestId request;
   size_t item_index; /* index into LcBatchSpec.items */
   /* Members set for LC_BATCH_GENERATE. */
-  /* number of events that the text already has; the request continues after them */
-  int64_t resume_at;
+  int64_t resume_at; /* number of events that the text already has; generation continues after */
   /* endpoint that was too slow for the item and should not get this request, or ""; valid until the
    * batch is next changed */
   const char *avoid_endpoint;
@@ -100,8 +99,7 @@
   LcBatchTextPart *parts;
   size_t n_parts;
   /* Members set for LC_BATCH_WRITE_RESULTS; valid until lc_batch_finish_result_write. */
-  /* position of results[0] among the batch's results; the others follow it */
-  int64_t first_position;
+  int64_t first_position; /* position of results[0] among the batch's results */
   const LcBatchResult *const *results;
   size_t n_results;
 } LcBatchAction;
