--- a/packages/core/include/lc-batch.h
+++ b/packages/core/include/lc-batch.h
@@ -114,7 +114,8 @@
 
 typedef struct
 {
-  LcBatchHistory *history;    /* not owned; NULL: no history */
+  /* measurements from the model's batches; not owned; NULL: no history */
+  LcBatchHistory *history;
   LcTextCache *text_cache;    /* not owned; NULL: texts of earlier batches are not reused */
   int64_t tokens_per_event;   /* tokens in one stream event; 0: not known, 1 is assumed */
   int64_t max_failures;       /* number of failed generations after which an item is abandoned */
--- a/packages/core/include/lc-catalog.h
+++ b/packages/core/include/lc-catalog.h
@@ -29,6 +29,7 @@
 void lc_catalog_free (LcCatalog *catalog);
 
 /* Functions that copy the shared table into an LcCatalog. */
+
 /* Starts a complete copy of the shared table: drops all rows that the LcCatalog holds. Each row is
  * then added by lc_catalog_apply_row. */
 void lc_catalog_begin_snapshot (LcCatalog *catalog);
@@ -39,6 +40,7 @@
 bool lc_catalog_finish_update (LcCatalog *catalog, int64_t store_clock_ms, LbTime now);
 
 /* Functions that write this instance's listings to the shared table. */
+
 /* Sets the time between two listings by this instance while it publishes. The time is written to
  * the publisher's row. */
 void lc_catalog_set_listing_period (LcCatalog *catalog, LbTime period);
@@ -89,6 +91,7 @@
 void lc_catalog_write_failed (LcCatalog *catalog, int64_t expected_version);
 
 /* Functions that only read an LcCatalog. */
+
 /* Whether the snapshot is recent enough to use. */
 bool lc_catalog_is_snapshot_fresh (const LcCatalog *catalog, LbTime now);
 /* Whether this instance must list the rows itself: it publishes, is about to take over, or sees no
--- a/packages/core/include/lc-config.h
+++ b/packages/core/include/lc-config.h
@@ -98,6 +98,7 @@
 void lc_config_free (LcConfig *config);
 
 /* Functions that change an LcConfig. */
+
 void lc_config_update_members (
     LcConfig *config, const LcConfigMember *members, size_t n_members, LbTime now, LbList *actions);
 /* Removes an instance that the platform reports as permanently removed, so that it no longer counts
@@ -137,6 +138,7 @@
 void lc_config_tick (LcConfig *config, LbTime now, LbList *actions);
 
 /* Functions that only read an LcConfig. */
+
 const LcResourceSet *lc_config_active_set (const LcConfig *config);
 int64_t lc_config_active_revision (const LcConfig *config);
 /* Returns true if this instance may accept new work with its active revision. */
--- a/packages/core/include/lc-detector.h
+++ b/packages/core/include/lc-detector.h
@@ -16,10 +16,12 @@
 void lc_detector_init (LcDetector *detector, LbTime period, LbTime now);
 
 /* Functions that change an LcDetector. */
+
 void lc_detector_record_arrival (LcDetector *detector, LbTime now);
 void lc_detector_discount_pause (LcDetector *detector, LbTime pause, LbTime now);
 
 /* Functions that only read an LcDetector. */
+
 LbTime lc_detector_deadline (const LcDetector *detector);
 bool lc_detector_has_timed_out (const LcDetector *detector, LbTime now);
 
--- a/packages/core/include/lc-dispatch.h
+++ b/packages/core/include/lc-dispatch.h
@@ -140,6 +140,7 @@
 
 /* Functions that change an LcDispatch. They append to actions, which the caller owns and frees with
  * lc_action_free. */
+
 void
 lc_dispatch_configure (LcDispatch *dispatch, const LcResourceSet *set, LbTime now, LbList *actions);
 /* Returns false with a "not run" error and *retry_after if the request is not admitted. */
@@ -181,6 +182,7 @@
 void lc_action_free (LcAction *action);
 
 /* Functions that give access to the state of an LcDispatch and append no actions. */
+
 /* Whether the current configuration contains a plain service, not a pool, of this name. */
 bool lc_dispatch_has_service (const LcDispatch *dispatch, const char *service);
 LbTime lc_dispatch_next_tick (const LcDispatch *dispatch);
--- a/packages/core/include/lc-endpoints.h
+++ b/packages/core/include/lc-endpoints.h
@@ -68,6 +68,7 @@
 void lc_endpoints_free (LcEndpoints *endpoints);
 
 /* Functions that change an LcEndpoints table. */
+
 void lc_endpoints_configure (LcEndpoints *endpoints, const LcResourceSet *set, LbTime now);
 /* Records a load report. A report with a new incarnation clears the leaving mark, the circuit
  * breaker and the cached prefixes. */
@@ -115,6 +116,7 @@
 void lc_endpoint_request_cancelled (LcEndpoint *endpoint, LcRequestKind kind, LbTime now);
 
 /* Functions that only read an LcEndpoints table. */
+
 LcEndpoint *lc_endpoints_find (LcEndpoints *endpoints, const char *name);
 size_t lc_endpoints_count (const LcEndpoints *endpoints);
 LcEndpoint *lc_endpoints_at (LcEndpoints *endpoints, size_t index);
--- a/packages/core/include/lc-fleet.h
+++ b/packages/core/include/lc-fleet.h
@@ -42,7 +42,7 @@
   /* local time at which this version was first read from the store; 0: not read yet */
   LbTime version_seen_at;
   bool alive;
-  bool fresh; /* the instance had missed no renewal at the last listing */
+  bool fresh; /* at the last listing, the instance's row was not overdue for renewal */
   /* the instance is known to have renewed its row recently; until then it gets no callers (see
    * lc_fleet_add_row) */
   bool confirmed;
@@ -72,6 +72,7 @@
 void lc_fleet_free (LcFleet *fleet);
 
 /* Functions that change an LcFleet. */
+
 /* Reads one complete listing: begin, add each row, finish. lc_fleet_finish_list returns true when
  * liveness or the state of any instance changed. */
 void lc_fleet_begin_list (LcFleet *fleet, const LcFleetList *list);
@@ -79,6 +80,7 @@
 bool lc_fleet_finish_list (LcFleet *fleet, LbTime now);
 
 /* Functions that only read an LcFleet. */
+
 /* Merges two listings of instances. Instances that run batches or send the orders to load weights
  * have a second row, their "row on duty", which is listed more often. all: listing of the rows of
  * all instances; on_duty: listing of the rows on duty. `members` must have room for the members of
--- a/packages/core/include/lc-instance.h
+++ b/packages/core/include/lc-instance.h
@@ -20,8 +20,9 @@
   LbName data_centre;
   LbName caller_address;
   LbName peer_address;
-  uint64_t epoch;   /* higher for each later incarnation of the same name */
-  uint64_t version; /* version of the state; raised only by the instance itself */
+  uint64_t epoch; /* higher for each later incarnation of the same name */
+  /* version of this state; raised only by the instance that the state describes */
+  uint64_t version;
   LcInstanceState state;
   bool draining;
   int64_t load; /* processor use per mille, rounded down to a multiple of LC_INSTANCE_LOAD_STEP */
--- a/packages/core/include/lc-lease.h
+++ b/packages/core/include/lc-lease.h
@@ -64,6 +64,7 @@
 void lc_lease_free (LcLease *lease);
 
 /* Functions that change an LcLease. */
+
 /* Sets this instance's position in the order in which instances claim the lease. 0: this instance
  * claims first; negative: this instance does not claim the lease. */
 void lc_lease_set_claim_rank (LcLease *lease, int rank);
@@ -100,6 +101,7 @@
 void lc_lease_request_read (LcLease *lease, LbTime now);
 
 /* Functions that only read an LcLease. */
+
 /* Whether this instance may give an order now; check before each order. can_order_unfenced: the
  * endpoint accepts orders with any fencing token. */
 bool lc_lease_allows_order (const LcLease *lease, bool can_order_unfenced, LbTime now);
--- a/packages/core/include/lc-load-time.h
+++ b/packages/core/include/lc-load-time.h
@@ -16,10 +16,12 @@
 } LcLoadTime;
 
 /* Functions that change an LcLoadTime. */
+
 /* Adds the time of one load: from the order to the poll that detected the end of the load. */
 void lc_load_time_add_sample (LcLoadTime *load, LbTime time);
 
 /* Functions that only read an LcLoadTime. */
+
 /* Returns the time from a load order to the first poll of the engine. */
 LbTime lc_load_time_first_poll_delay (const LcLoadTime *load);
 /* Returns the time from one poll of an engine to the next. */
--- a/packages/core/include/lc-membership.h
+++ b/packages/core/include/lc-membership.h
@@ -57,7 +57,7 @@
 {
   LcInstance instance;
   bool is_self;
-  /* no instance suspects the member, and its connection to this instance is not silent */
+  /* no instance suspects the member, and the member's connection to this instance is not silent */
   bool alive;
   bool draining; /* reported by the instance itself or by the platform's list */
   LbTime changed_at;
@@ -88,6 +88,7 @@
 
 /* Functions that change an LcMembership. Each appends the actions that the caller must carry out
  * (LcMembershipAction) to actions. */
+
 void lc_membership_add_seed (LcMembership *membership, const char *address, LbTime now);
 void lc_membership_apply_platform_list (LcMembership *membership,
                                         const LcListedInstance *listed,
@@ -147,6 +148,7 @@
 void lc_membership_action_free (LcMembershipAction *action);
 
 /* Functions that only read an LcMembership. */
+
 LbTime lc_membership_next_tick (const LcMembership *membership);
 uint64_t lc_membership_digest (const LcMembership *membership);
 const LcInstance *lc_membership_self (const LcMembership *membership);
--- a/packages/core/include/lc-organisations.h
+++ b/packages/core/include/lc-organisations.h
@@ -39,6 +39,7 @@
 void lc_organisations_free (LcOrganisations *organisations);
 
 /* Functions that change an LcOrganisations table. */
+
 /* Returns false with an error if the name is empty or already in use. */
 bool lc_organisations_add (LcOrganisations *organisations,
                            const LcOrganisation *organisation,
@@ -50,6 +51,7 @@
                                LbError *error);
 
 /* Functions that only read an LcOrganisations table. */
+
 size_t lc_organisations_count (const LcOrganisations *organisations);
 /* Returns the organisation that has the key; NULL if there is none. */
 const LcOrganisation *lc_organisations_find_by_key (const LcOrganisations *organisations,
--- a/packages/core/include/lc-quarantine.h
+++ b/packages/core/include/lc-quarantine.h
@@ -28,6 +28,7 @@
 void lc_quarantine_free (LcQuarantine *quarantine);
 
 /* Functions that change an LcQuarantine. */
+
 /* Adds a crash report; has no effect if its id is already known. */
 void lc_quarantine_add_report (LcQuarantine *quarantine, const LcCrashReport *report, LbTime now);
 void lc_quarantine_withdraw_report (LcQuarantine *quarantine, const char *id);
@@ -47,6 +48,7 @@
                                   LbTime *answered_at);
 
 /* Functions that only read an LcQuarantine. */
+
 /* Time at which the fingerprint's quarantine ends; 0: it is not in quarantine. */
 LbTime lc_quarantine_ends_at (const LcQuarantine *quarantine, LcFingerprint fingerprint);
 /* Number of fingerprints in quarantine. */
--- a/packages/core/include/lc-resources.h
+++ b/packages/core/include/lc-resources.h
@@ -30,8 +30,10 @@
 typedef enum
 {
   LC_PRESET_BALANCED,
-  LC_PRESET_IDLE_TIME, /* idle time of trainers counts more than staleness of samples */
-  LC_PRESET_STALENESS  /* staleness of samples counts more than idle time of trainers */
+  /* scheduling weighs the idle time of trainers more than the staleness of samples */
+  LC_PRESET_IDLE_TIME,
+  /* scheduling weighs the staleness of samples more than the idle time of trainers */
+  LC_PRESET_STALENESS
 } LcPreset;
 
 /* Subscription: use of a pool's engines by one trainer. */
--- a/packages/core/include/lc-rollouts.h
+++ b/packages/core/include/lc-rollouts.h
@@ -98,7 +98,7 @@
   LbName scorer;
   const char *text; /* SCORE: text of the sample to score */
   /* Members set for WRITE_LEDGER. */
-  uint64_t write_id; /* argument for lc_rollouts_finish_ledger_write */
+  uint64_t write_id; /* id of the write, to pass to lc_rollouts_finish_ledger_write */
   char *row_key;     /* key of the step's ledger row; owned by the action */
   char *row_value;   /* new value of the step's ledger row; owned by the action */
   uint64_t session;
@@ -241,6 +241,7 @@
 void lc_rollout_action_free (LcRolloutAction *action);
 
 /* Functions that only read an LcRollouts. */
+
 /* Whether the current configuration has a subscription of this name. */
 bool lc_rollouts_has_subscription (const LcRollouts *rollouts, const char *subscription);
 /* Whether the step is valid, its subscription is configured and this instance isn't draining. */
--- a/packages/core/include/lc-roster.h
+++ b/packages/core/include/lc-roster.h
@@ -39,6 +39,7 @@
 void lc_roster_free (LcRoster *roster);
 
 /* Functions that change an LcRoster. */
+
 /* Applies a complete list of registrations, which was requested from the store at asked_at. Returns
  * true if the resource set changed. */
 bool lc_roster_apply_list (
@@ -51,6 +52,7 @@
 bool lc_roster_set_engine_plan (LcRoster *roster, const LcEnginePlan *plan);
 
 /* Functions that only read an LcRoster. */
+
 /* Time between two requests for the list of endpoints. */
 LbTime lc_roster_list_period (const LcRoster *roster);
 size_t lc_roster_count_endpoints (const LcRoster *roster);
--- a/packages/core/include/lc-scaling.h
+++ b/packages/core/include/lc-scaling.h
@@ -14,6 +14,7 @@
 void lc_scaling_free (LcScaling *scaling);
 
 /* Functions that change an LcScaling. */
+
 /* Records that a trainer submitted a batch of n_generations for the model. */
 void
 lc_scaling_add_demand (LcScaling *scaling, const char *model, int64_t n_generations, LbTime now);
--- a/packages/core/include/lc-subset.h
+++ b/packages/core/include/lc-subset.h
@@ -32,6 +32,7 @@
 void lc_subset_free (LcSubset *subset);
 
 /* Functions that read the endpoint table page by page and choose the subset. */
+
 void lc_subset_begin_list (LcSubset *subset, LbTime now);
 /* Adds the next row in key order. Returns true if the endpoint belongs to the subset. */
 bool lc_subset_add_row (LcSubset *subset, const char *key, const LcSubsetRow *row);
@@ -40,6 +41,7 @@
 bool lc_subset_end_page (LcSubset *subset, const char *last_key, bool is_last);
 
 /* Functions that configure the choice of the subset. */
+
 /* Clears the set of required services. Pages are read until the subset has enough endpoints of each
  * required service. */
 void lc_subset_clear_required_services (LcSubset *subset);
@@ -55,6 +57,7 @@
 void lc_subset_grow_for_service (LcSubset *subset, const char *service, LbTime now);
 
 /* Functions that only read an LcSubset. */
+
 /* Number of rows to request per page: as many as the previous list needed. */
 int64_t lc_subset_page_size (const LcSubset *subset);
 void lc_subset_foreach_bound (const LcSubset *subset,
--- a/packages/core/include/lc-ticket.h
+++ b/packages/core/include/lc-ticket.h
@@ -56,6 +56,7 @@
 void lc_tickets_free (LcTickets *tickets);
 
 /* Functions that change an LcTickets table. */
+
 bool lc_tickets_issue (
     LcTickets *tickets, const char *caller, LbTime now, char text[LC_TICKET_SIZE], LbError *error);
 LcTicketDecision lc_tickets_redeem (LcTickets *tickets,
@@ -74,6 +75,7 @@
 void lc_tickets_remove_expired (LcTickets *tickets, LbTime now);
 
 /* Functions that only read an LcTickets table. */
+
 LbTime lc_tickets_next_expiry (const LcTickets *tickets);
 size_t lc_tickets_count (const LcTickets *tickets);
 size_t lc_tickets_count_answer_bytes (const LcTickets *tickets);
--- a/packages/core/include/lc-usage-reports.h
+++ b/packages/core/include/lc-usage-reports.h
@@ -60,6 +60,7 @@
 void lc_usage_reports_free (LcUsageReports *reports);
 
 /* Functions that change an LcUsageReports. */
+
 /* Starts reporting after this instance acquired the duty; drops all earlier state. */
 void lc_usage_reports_begin_duty (LcUsageReports *reports);
 void lc_usage_reports_end_duty (LcUsageReports *reports);
@@ -101,6 +102,7 @@
                                    LcUsageAction *action);
 
 /* Functions that only read an LcUsageReports. */
+
 /* Returns a number that increases each time this instance acquires the duty; 0 while another
  * instance or none holds it. Results of actions of an earlier epoch must be dropped, since they
  * look like results of the current epoch's actions. */
--- a/packages/core/include/lc-usage.h
+++ b/packages/core/include/lc-usage.h
@@ -43,6 +43,7 @@
 } LcUsageRow;
 
 /* Functions that change an LcUsage. */
+
 /* Counts a request that started at true_ms, in Unix milliseconds. */
 void lc_usage_count_request (LcUsage *usage, const char *organisation, int64_t true_ms);
 /* Sets *row to the next row to write; returns false if there is none to write now. After the write,
@@ -55,6 +56,7 @@
 void lc_usage_remove_windows_before (LcUsage *usage, int64_t first_kept);
 
 /* Functions that only read an LcUsage. */
+
 bool lc_usage_is_fully_written (const LcUsage *usage);
 
 #endif
--- a/packages/core/include/lc-weights.h
+++ b/packages/core/include/lc-weights.h
@@ -64,6 +64,7 @@
 void lc_weights_free (LcWeights *weights);
 
 /* Functions that change an LcWeights. */
+
 void lc_weights_configure (LcWeights *weights, const LcResourceSet *set, LbTime now);
 /* Records the newest version in the weight store. It is the target unless the pool's weight_version
  * names another. */
@@ -93,6 +94,7 @@
 void lc_weights_set_swap_limit (LcWeights *weights, int64_t limit);
 
 /* Functions that only read an LcWeights. */
+
 typedef enum
 {
   LC_WEIGHTS_IDLE,         /* no engine needs a load */
@@ -102,7 +104,7 @@
   /* one more swap would reduce the capacity for live calls below the reserve */
   LC_WEIGHTS_CAPACITY,
   LC_WEIGHTS_STATE_UNKNOWN, /* some engines have not reported their state */
-  LC_WEIGHTS_BACKOFF,       /* failed loads are retried later */
+  LC_WEIGHTS_BACKOFF,       /* failed loads are retried only after a delay */
   LC_WEIGHTS_HALTED /* several engines failed to load the target version, and no engine serves it */
 } LcWeightsWaitReason;
 
@@ -112,9 +114,11 @@
   LbTime version_interval; /* mean time between new versions; 0: not known */
   size_t engines;          /* number of engines in the pool */
   size_t on_target;        /* number of engines that serve the target version */
-  /* number of engines that serve the target version or the version before it */
+  /* number of engines that serve the target version or the version before it; a trainer's next step
+   * accepts both */
   size_t usable;
-  /* number of engines that load, or may load by an order of an earlier lease holder */
+  /* number of engines that load weights, or may be loading them by an order of an earlier lease
+   * holder */
   size_t swapping;
   size_t unknown; /* number of engines whose state is not known at present */
   size_t failed;  /* number of engines whose last load of the target failed */
--- a/packages/core/src/batch/lc-batch-private.h
+++ b/packages/core/src/batch/lc-batch-private.h
@@ -45,6 +45,7 @@
 };
 
 /* Defined in lc-batch.c. */
+
 LcBatchAction *lc_batch_add_action (LbList *actions, LcBatchActionType type);
 size_t lc_batch_find_item_index (const LcBatch *batch, const LcBatchItem *item);
 /* Converts a number of events to tokens with the tokens per event of the settings. */
@@ -53,6 +54,7 @@
 void lc_batch_cancel_item_request (LcBatchItem *item, LbList *actions);
 
 /* Defined in lc-batch-write.c. */
+
 /* Queues the result of a finished item for the next write. */
 void lc_batch_queue_result_for_write (LcBatch *batch,
                                       LcBatchItem *item,
@@ -62,6 +64,7 @@
 void lc_batch_start_result_write (LcBatch *batch, LbList *actions);
 
 /* Defined in lc-batch-review.c. */
+
 void lc_batch_restart_or_move_items (LcBatch *batch, LbTime now, LbList *actions);
 /* Postpones the next check for slow items if this instance was paused since the last tick. Call at
  * the start of each tick. */
--- a/packages/core/src/config/lc-config.c
+++ b/packages/core/src/config/lc-config.c
@@ -193,8 +193,8 @@
     send_query (config, peer, now, actions);
 }
 
-/* Discards the state that the previous process of a restarted peer reported: it does not apply to
- * the new process. */
+/* Discards the state that the previous process of a restarted peer reported, because that state
+ * does not apply to the peer's new process. */
 static void
 reset_restarted_peer (LcConfigPeer *peer, const char *incarnation)
 {
--- a/packages/core/src/rollout/lc-generate.c
+++ b/packages/core/src/rollout/lc-generate.c
@@ -175,7 +175,8 @@
 
   spec->id = job->request;
   spec->kind = LC_KIND_SAMPLE;
-  spec->delivery = LC_DELIVER_STREAM; /* hedging and resuming need each piece as it arrives */
+  /* streamed, because hedging and resuming need each piece as soon as it arrives */
+  spec->delivery = LC_DELIVER_STREAM;
   LB_COPY (spec->pool, trainer->subscription.pool);
   LB_COPY (spec->caller, step->spec.subscription);
   spec->share = trainer->subscription.share;
--- a/packages/core/src/rollout/lc-ledger.h
+++ b/packages/core/src/rollout/lc-ledger.h
@@ -20,6 +20,7 @@
 } LcLedger;
 
 /* Functions that change an LcLedger. */
+
 /* Records that the row must be written, without a batching delay if urgent. Returns a change number
  * for lc_ledger_has_stored_change. */
 uint64_t lc_ledger_add_change (LcLedger *ledger, bool urgent);
@@ -29,6 +30,7 @@
 void lc_ledger_end_write (LcLedger *ledger, LbErrorCode error, double jitter, LbTime now);
 
 /* Functions that only read an LcLedger. */
+
 bool lc_ledger_has_stored_change (const LcLedger *ledger, uint64_t change);
 /* Returns when the next write should start; LB_TIME_NEVER while a write is in progress. */
 LbTime lc_ledger_next_write_at (const LcLedger *ledger);
--- a/packages/core/src/rollout/lc-step.h
+++ b/packages/core/src/rollout/lc-step.h
@@ -125,6 +125,7 @@
 void lc_step_free (LcStep *step);
 
 /* Functions that change an LcStep. */
+
 void lc_step_set_slot_state (LcStep *step, LcSlot *slot, LcSlotState state);
 /* Discards the slot's sample and sets its state to WAITING. */
 void lc_step_reset_slot (LcStep *step, LcSlot *slot);
@@ -133,6 +134,7 @@
 void lc_chunk_clear (LcChunk *chunk);
 
 /* Functions that only read an LcStep. */
+
 /* Returns the number of slots that are neither in the current chunk nor acknowledged. */
 size_t lc_step_count_unsent_slots (const LcStep *step);
 LcReadySample lc_step_make_ready_sample (const LcStep *step, const LcSlot *slot);
--- a/packages/core/src/rollout/lc-ticket.c
+++ b/packages/core/src/rollout/lc-ticket.c
@@ -25,10 +25,12 @@
 
 typedef struct
 {
-  UT_hash_handle hh;         /* in LcTickets.tickets, by number */
-  UT_hash_handle hh_request; /* in LcTickets.running, by request, while the call runs */
-  LbLink expiry_link;        /* in LcTickets.by_expiry, unless the call runs */
-  LbLink answered_link;      /* in LcTickets.answered, oldest first, while the answer is stored */
+  UT_hash_handle hh; /* handle in the hash table LcTickets.tickets, keyed by number */
+  /* handle in the hash table LcTickets.running, keyed by request, while the call runs */
+  UT_hash_handle hh_request;
+  LbLink expiry_link; /* link in the list LcTickets.by_expiry, unless the call runs */
+  /* link in the list LcTickets.answered, oldest first, while the answer is stored */
+  LbLink answered_link;
   uint64_t number;
   uint64_t caller_hash;
   uint64_t content_hash; /* hash of the call's content, set when a call first uses the ticket */
--- a/packages/core/src/usage/lc-organisations.c
+++ b/packages/core/src/usage/lc-organisations.c
@@ -14,14 +14,14 @@
 typedef struct
 {
   LcOrganisation organisation;
-  UT_hash_handle hh; /* in LcOrganisations.entries, by name */
+  UT_hash_handle hh; /* handle in the hash table LcOrganisations.entries, keyed by name */
 } Entry;
 
 typedef struct
 {
   LcKeyDigest digest;
   const Entry *entry;
-  UT_hash_handle hh; /* in LcOrganisations.keys, by digest */
+  UT_hash_handle hh; /* handle in the hash table LcOrganisations.keys, keyed by digest */
 } Key;
 
 struct LcOrganisations
--- a/packages/core/src/weights/lc-swap-turns.c
+++ b/packages/core/src/weights/lc-swap-turns.c
@@ -2,11 +2,12 @@
 
 #include "lb-switch.h"
 
-/* Returns the share of a model's engines whose weights its trainer's next step can use. Ties are
- * broken by the share that has or loads the newest weights. The next step accepts weights one
- * version old, so engines two versions behind are unusable for it. Loads in progress count in both
- * shares: otherwise the first of several equal models would get all loads, and the next step of
- * another model would find none of its engines ready. */
+/* Returns the share of a model's engines that have, or are loading, weights that the next step of
+ * the model's trainer can use. Ties between models are broken by the share that has or loads the
+ * newest weights. The next step accepts weights one version old, so engines two versions behind are
+ * unusable for it. Loads in progress count in both shares, because otherwise the first of several
+ * equal models would get all loads, and the next step of another model would find none of its
+ * engines ready. */
 static double
 score_usable_engine_share_of_model (const LcWeightsStatus *status)
 {
--- a/packages/core/src/weights/lc-weights.c
+++ b/packages/core/src/weights/lc-weights.c
@@ -18,8 +18,9 @@
 
 typedef enum
 {
-  ENGINE_UNKNOWN, /* not known: no recent report, a failed order or a load that hangs */
-  ENGINE_EMPTY,   /* no complete version is loaded, and no load is in progress */
+  /* state not known, because of a missing recent report, a failed order or a load that hangs */
+  ENGINE_UNKNOWN,
+  ENGINE_EMPTY, /* no complete version is loaded, and no load is in progress */
   ENGINE_SERVING,
   ENGINE_SWAPPING
 } EngineState;
@@ -31,7 +32,7 @@
   EngineState state;
   LcWeightReport report;
   LbTime last_report_at;
-  LbTime not_serving_since;  /* time at which the engine stopped serving; 0: it serves */
+  LbTime not_serving_since;  /* time at which the engine stopped serving; 0: the engine serves */
   LbTime loading_since;      /* time of the first report of the load in progress; 0: none */
   LcVersion ordered_version; /* version of the pending load order; 0: none */
   LbTime ordered_at;
@@ -58,7 +59,7 @@
   LbTime newest_at;
   LbTime version_interval;
   LbTime mean_load_time; /* mean time from a load order to the report that the load has ended */
-  double order_tokens;   /* tokens in the bucket that limits the rate of orders */
+  double order_tokens;   /* tokens left in the token bucket that limits the rate of load orders */
   LbTime order_tokens_updated_at;
   LbTime lease_changed_at;
   LcWeightsWaitReason wait_reason;
