--- a/packages/core/include/lc-resources.h
+++ b/packages/core/include/lc-resources.h
@@ -30,8 +30,10 @@
 typedef enum
 {
   LC_PRESET_BALANCED,
-  LC_PRESET_IDLE_TIME, /* idle time of trainers counts more than staleness of samples */
-  LC_PRESET_STALENESS  /* staleness of samples counts more than idle time of trainers */
+  /* scheduling weighs the idle time of trainers more than the staleness of samples */
+  LC_PRESET_IDLE_TIME,
+  /* scheduling weighs the staleness of samples more than the idle time of trainers */
+  LC_PRESET_STALENESS
 } LcPreset;
 
 /* Subscription: use of a pool's engines by one trainer. */
@@ -39,8 +41,10 @@
 {
   LbName name;
   LbName pool;
-  double share; /* relative weight among the trainers of the pool */
-  int preset;   /* value of LcPreset */
+  /* share of the pool's engines that the trainer gets, relative to the shares of the pool's
+   * other trainers */
+  double share;
+  int preset; /* value of LcPreset */
   /* derived from preset: 0 (only staleness counts) to 1 (only idle time counts) */
   double idle_weight;
   double hedge_budget; /* maximum share of a step's tokens that hedged requests may waste, 0..0.5 */
--- a/packages/core/include/lc-weights.h
+++ b/packages/core/include/lc-weights.h
@@ -3,10 +3,11 @@
 
 #include "lc-resources.h"
 
-/* Rolling update of the model weights on the engines of one pool. Chooses the engine that is next
- * ordered to load the target version, and reports why other engines wait. Keeps no state that a new
- * holder of the pool's lease could not read from the engines. No I/O: commands append actions; the
- * caller sends the orders, polls the engines and passes on their reports. */
+/* This header declares the rolling update of the model weights on the engines of one pool.
+ * LcWeights chooses the engine that is next ordered to load the target version, and reports why
+ * other engines wait. It keeps no state that a new holder of the pool's lease could not read from
+ * the engines. No I/O: commands append actions; the caller sends the orders, polls the engines and
+ * passes on their reports. */
 
 /* Report of an engine about its weights. */
 typedef struct
@@ -63,6 +64,7 @@
 void lc_weights_free (LcWeights *weights);
 
 /* Functions that change an LcWeights. */
+
 void lc_weights_configure (LcWeights *weights, const LcResourceSet *set, LbTime now);
 /* Records the newest version in the weight store. It is the target unless the pool's weight_version
  * names another. */
@@ -92,15 +94,17 @@
 void lc_weights_set_swap_limit (LcWeights *weights, int64_t limit);
 
 /* Functions that only read an LcWeights. */
+
 typedef enum
 {
-  LC_WEIGHTS_IDLE,          /* no engine needs a load */
-  LC_WEIGHTS_IN_PROGRESS,   /* swaps are in progress */
-  LC_WEIGHTS_NO_LEASE,      /* the lease does not allow orders now */
-  LC_WEIGHTS_RATE_LIMITED,  /* the rate limit of the weight store delays the next order */
-  LC_WEIGHTS_CAPACITY,      /* another swap would reduce live capacity below the reserve */
+  LC_WEIGHTS_IDLE,         /* no engine needs a load */
+  LC_WEIGHTS_IN_PROGRESS,  /* swaps are in progress */
+  LC_WEIGHTS_NO_LEASE,     /* the lease for sending load orders does not allow orders now */
+  LC_WEIGHTS_RATE_LIMITED, /* the rate limit of the weight store delays the next order */
+  /* one more swap would reduce the capacity for live calls below the reserve */
+  LC_WEIGHTS_CAPACITY,
   LC_WEIGHTS_STATE_UNKNOWN, /* some engines have not reported their state */
-  LC_WEIGHTS_BACKOFF,       /* failed loads are retried later */
+  LC_WEIGHTS_BACKOFF,       /* failed loads are retried only after a delay */
   LC_WEIGHTS_HALTED /* several engines failed to load the target version, and no engine serves it */
 } LcWeightsWaitReason;
 
@@ -110,9 +114,11 @@
   LbTime version_interval; /* mean time between new versions; 0: not known */
   size_t engines;          /* number of engines in the pool */
   size_t on_target;        /* number of engines that serve the target version */
-  /* number of engines that serve the target version or the version before it */
+  /* number of engines that serve the target version or the version before it; a trainer's next step
+   * accepts both */
   size_t usable;
-  /* number of engines that load, or may load by an order of an earlier lease holder */
+  /* number of engines that load weights, or may be loading them by an order of an earlier lease
+   * holder */
   size_t swapping;
   size_t unknown; /* number of engines whose state is not known at present */
   size_t failed;  /* number of engines whose last load of the target failed */
