--- a/packages/core/src/dispatch/lc-admission.c
+++ b/packages/core/src/dispatch/lc-admission.c
@@ -2,11 +2,12 @@
 
 #include <string.h>
 
-/* When the last confirmation of the list of organisations is this old, an unknown key may be a new
- * one. A refresh of the list completes every 0.7 s or sooner, so one reply may be lost or late. */
+/* If the list of organisations was last confirmed longer ago than this, an unknown API key may have
+ * been added since. A refresh of the list completes every 0.7 s or sooner, so one reply may be lost
+ * or late. */
 #define MAX_CONFIRMATION_AGE (1500 * LB_MSEC)
-/* Delay after which a call whose key could not be checked may be retried: long enough for the store
- * to reply. A call refused again should go to another instance. */
+/* Delay after which a call whose API key could not be checked may be retried: long enough for the
+ * store to reply. If the call is refused again, the client should send it to another instance. */
 #define UNCONFIRMED_RETRY_AFTER (300 * LB_MSEC)
 
 static void
@@ -17,8 +18,8 @@
   admission->retry_after = retry_after;
 }
 
-/* Whether a key may have been revoked while this instance can't reach the store. Without this check
- * a revoked key would be accepted for as long as the partition lasts. */
+/* Whether an API key may have been revoked while this instance can't reach the store. Without this
+ * check a revoked key would be accepted for as long as the partition lasts. */
 static bool
 may_key_be_revoked (const LcAdmissionRules *rules, LbTime confirmation_age)
 {
--- a/packages/core/src/dispatch/lc-candidates.c
+++ b/packages/core/src/dispatch/lc-candidates.c
@@ -30,7 +30,7 @@
 {
   const LcRouteQuery *query;
   double fastest_token_seconds; /* seconds per token of the pool's fastest engine; 0: unknown */
-  bool strict;                  /* set to exclude avoided endpoints and slow engines */
+  bool strict;                  /* excludes slow engines and endpoints that the request avoids */
   LbTime reports_valid_since;
   LbTime now;
 } DecisionInputs;
@@ -171,7 +171,8 @@
   candidates->reason = candidates->n_items > 0 ? NULL : find_reason_without_candidates (&counts);
   if (query->kind != LC_KIND_SAMPLE || counts.eligible > 0 || counts.avoided + counts.too_slow == 0)
     return;
-  /* If only avoided or slow engines remain, a sample gains nothing by waiting: it may use them. */
+  /* If only avoided or slow engines remain, a sample may use them, since it gains nothing by
+   * waiting. */
   inputs.strict = false;
   gather_group_candidates (candidates, endpoints, group, &inputs, &counts);
   candidates->reason = candidates->n_items > 0 ? NULL : "no-capacity";
--- a/packages/core/src/dispatch/lc-candidates.h
+++ b/packages/core/src/dispatch/lc-candidates.h
@@ -7,8 +7,8 @@
 /* The endpoints that can take a request now. Every policy chooses among the same candidates. */
 typedef struct
 {
-  LcCandidate *items;                  /* scores are 0 until a policy sets them */
-  const LcEndpointSummary **summaries; /* summary of the endpoint of each item */
+  LcCandidate *items; /* array of the candidates; their scores are 0 until a policy sets them */
+  const LcEndpointSummary **summaries; /* endpoint summaries of the candidates, in the same order */
   size_t n_items;
   size_t capacity;
   const char *reason; /* why no endpoint can take the request; NULL if any can */
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -254,7 +254,7 @@
 
 /* Returns the error to report if the request is not retried after an attempt with this end. */
 static LbErrorCode
-error_without_retry (const LcRequest *request, LcAttemptEnd end)
+choose_error_without_retry (const LcRequest *request, LcAttemptEnd end)
 {
   if (!request->may_have_run)
     return end == LC_END_NOT_SENT ? LB_ERROR_NO_ENDPOINT : LB_ERROR_ENDPOINT_REFUSED;
@@ -268,7 +268,7 @@
 }
 
 static bool
-may_retry (const LcRequest *request)
+may_retry_request (const LcRequest *request)
 {
   if (!lc_request_has_attempts_left (request)
       || request->n_consecutive_lost >= MAX_CONSECUTIVE_LOST_ATTEMPTS)
@@ -291,7 +291,7 @@
 
 /* Whether the endpoint's reply rules out a retry. */
 static bool
-rules_out_retry (const LcRequest *request, LcAttemptEnd end)
+does_attempt_end_rule_out_retry (const LcRequest *request, LcAttemptEnd end)
 {
   return end == LC_END_REJECTED || (end == LC_END_FAILED && request->failure_is_final);
 }
@@ -322,7 +322,7 @@
   bool immediately = is_retried_immediately (request, end);
   bool charged_to_budget = !immediately && !resumed;
 
-  if (rules_out_retry (request, end) || !may_retry (request)
+  if (does_attempt_end_rule_out_retry (request, end) || !may_retry_request (request)
       || (!immediately && now + delay >= request->deadline)
       || (charged_to_budget && !lc_retry_budgets_allow_retry (dispatch->budgets, request->caller)))
     {
@@ -346,14 +346,15 @@
 }
 
 static AttemptResult
-attempt_result_of (LcAttemptEnd end)
+get_attempt_result (LcAttemptEnd end)
 {
   if (end == LC_END_REFUSED_LEAVING)
     return RESULT_CANCELLED;
   return end == LC_END_REFUSED ? RESULT_REFUSED : RESULT_FAILED;
 }
 
-/* Whether the endpoint replied, even with a failure, so the request did not crash it. */
+/* Whether this end of an attempt shows that the endpoint replied, even with a failure, so that the
+ * request did not crash the endpoint. */
 static bool
 proves_endpoint_alive (LcAttemptEnd end)
 {
@@ -387,8 +388,8 @@
   bool resumed = does_stream_resume (request, attempt, end);
 
   lc_request_add_tried_endpoint (request, attempt->endpoint);
-  record_result_and_free_attempt (dispatch, request, attempt, attempt_result_of (end), now);
-  request->last_error = error_without_retry (request, end);
+  record_result_and_free_attempt (dispatch, request, attempt, get_attempt_result (end), now);
+  request->last_error = choose_error_without_retry (request, end);
   if (lb_list_is_empty (&request->attempts))
     {
       retry_or_fail_request (dispatch, request, end, resumed, now, actions);
--- a/packages/core/src/dispatch/lc-pieces.c
+++ b/packages/core/src/dispatch/lc-pieces.c
@@ -22,8 +22,8 @@
 
   attempt->has_piece = true;
   request->may_have_run = true;
-  /* The first piece counts as an answer: the endpoint survived the start of the request, and a
-   * resumable stream is continued rather than started again. */
+  /* The first piece of a resumable stream is recorded as an answer, because the endpoint survived
+   * the start of the request and a broken stream is continued rather than started again. */
   if (lc_request_is_resumable_stream (request))
     lc_quarantine_record_answer (dispatch->quarantine, request->content, now);
   lc_pool_state_record_first_piece (request->pool, request->kind, now - attempt->sent_at);
--- a/packages/core/src/dispatch/lc-placement.c
+++ b/packages/core/src/dispatch/lc-placement.c
@@ -52,9 +52,9 @@
 }
 
 /* Whether a request may wait for a pool whose circuit breakers admit nothing before available_at.
- * Calls may wait only briefly: they would pile up and reach the first recovered endpoint all at
- * once, so their callers get a retry hint instead. Samples may wait, since no client waits for
- * them. */
+ * Calls may wait only briefly, because they would otherwise pile up and reach the first recovered
+ * endpoint all at once; their callers get a retry hint instead. Samples may wait, since no client
+ * waits for them. */
 bool
 lc_dispatch_may_wait_for_pool (LcRequestKind kind,
                                LbTime available_at,
@@ -314,9 +314,10 @@
       }
 }
 
-/* Whether the retry budgets allow a hedge. Hedges of samples are free: each sample uses one idle
- * slot once, until either engine starts. If they were charged, the first three of many samples that
- * hang at an unresponsive engine would exhaust the budget. */
+/* Whether the retry budgets allow a hedge. Hedges of samples are not charged, because a sample is
+ * hedged once, and the hedge uses one idle slot until either engine starts. If these hedges were
+ * charged, the first three of many samples that hang at an unresponsive engine would exhaust the
+ * budget. */
 static bool
 is_hedge_allowed (LcDispatch *dispatch, const LcRequest *request, const LcEndpoint *endpoint)
 {
@@ -347,8 +348,8 @@
 }
 
 /* Sends a second attempt of a repeatable request that has not received a piece. Postpones the hedge
- * of a sample if its timer is late: this instance was paused, and the first pieces of hundreds of
- * samples may be waiting unread. */
+ * of a sample if the timer expires late, because this instance was then paused, and the first
+ * pieces of hundreds of samples may be waiting unread. */
 void
 lc_dispatch_try_hedge (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
 {
--- a/packages/core/src/dispatch/lc-policies.h
+++ b/packages/core/src/dispatch/lc-policies.h
@@ -22,7 +22,7 @@
 /* Time that a request takes at a candidate under the candidate's load. */
 typedef struct
 {
-  double seconds;             /* waiting and decoding, and the delay caused to other requests */
+  double seconds; /* time for waiting and decoding, plus the delay caused to other requests */
   double capacity_per_second; /* number of added requests that raise seconds by 1 */
 } LcLoadCost;
 
@@ -31,7 +31,8 @@
   LcRouter base;
   LcCandidates candidates;
   gsl_rng *rng;
-  uint64_t next_turn;    /* round-robin: random start plus number of decisions; 0: not started */
+  uint64_t next_turn; /* round-robin policy: random start position plus number of decisions; 0: no
+                         decision yet */
   double *cached_shares; /* cached share of the prompt by LcEndpoint.slot; reset to 0 after a
                             decision */
   size_t n_cached_shares;
--- a/packages/core/src/dispatch/lc-pool.h
+++ b/packages/core/src/dispatch/lc-pool.h
@@ -20,9 +20,10 @@
   LcPoolKind kind;
   LcQueue *queue;
   bool configured;     /* the current configuration contains the pool */
-  LbTime held_since;   /* since when requests wait for a current load report; 0: they don't */
+  LbTime held_since;   /* when the pool began to hold its requests until a current load report
+                          arrives; 0: it holds none */
   double live_reserve; /* share of each engine's concurrency kept for live calls, 0..0.9 */
-  int64_t queue_limit; /* limit of waiting requests */
+  int64_t queue_limit; /* maximum number of waiting requests */
   size_t n_requests;   /* number of requests admitted and not finished */
   int64_t running[LC_N_KINDS]; /* number of running attempts by request kind */
   /* Moving average of the duration of complete attempts; 0: none has completed. */
--- a/packages/core/src/dispatch/lc-queue.c
+++ b/packages/core/src/dispatch/lc-queue.c
@@ -39,8 +39,8 @@
   LcHeapNode backlog_node;
   LcHeapNode idle_node;
   Band *band;
-  LcHeap ready;      /* requests that are not deferred, next to send on top */
-  LcHeap drop_order; /* all requests, first to drop on top */
+  LcHeap ready;      /* heap of requests that are not deferred; the next to send is on top */
+  LcHeap drop_order; /* heap of all requests; the first to drop is on top */
   double share;
   double next_start; /* virtual start time of the flow's next request */
   LcRequestKind kind;
@@ -120,7 +120,7 @@
 /* Returns the rank of the band for requests with this key. All samples of organisations with equal
  * priority share one band, so that no trainer can overtake another by raising its own priority. */
 static BandRank
-band_rank_of (const LcQueueKey *key)
+compute_band_rank (const LcQueueKey *key)
 {
   static const int kinds[] = { [LC_KIND_LIVE] = 0, [LC_KIND_SERVICE] = 1, [LC_KIND_SAMPLE] = 2 };
 
@@ -307,7 +307,7 @@
 static Band *
 find_or_add_band (LcQueue *queue, const LcQueueKey *key)
 {
-  BandRank rank = band_rank_of (key);
+  BandRank rank = compute_band_rank (key);
   size_t index = find_band_index (queue, &rank);
   Band *band = get_band_if_rank_equals (queue, index, &rank);
 
@@ -433,7 +433,7 @@
 LcQueueEntry *
 lc_queue_find_request_to_drop (const LcQueue *queue, const LcQueueKey *key)
 {
-  BandRank rank = band_rank_of (key);
+  BandRank rank = compute_band_rank (key);
   size_t own_index = find_band_index (queue, &rank);
   const Band *own_band = get_band_if_rank_equals (queue, own_index, &rank);
 
@@ -473,7 +473,7 @@
 double
 lc_queue_estimate_requests_ahead (const LcQueue *queue, const LcQueueKey *key)
 {
-  BandRank rank = band_rank_of (key);
+  BandRank rank = compute_band_rank (key);
   size_t own_index = find_band_index (queue, &rank);
   const Band *band = get_band_if_rank_equals (queue, own_index, &rank);
   double share = key->share > 0 ? key->share : 1;
--- a/packages/core/src/dispatch/lc-queue.h
+++ b/packages/core/src/dispatch/lc-queue.h
@@ -8,23 +8,24 @@
  * calls, service calls, samples), then by the organisation's priority. Bands of calls are further
  * split by the request's priority.
  *
- * A band serves its flows by start-time fair queueing: each request sent advances the virtual start
- * time of its flow by cost / share. A flow sends higher priority first, then earlier latest start,
- * then the older request. */
+ * A band serves its flows, each with the requests of one or more callers, by start-time fair
+ * queueing: each request sent advances the virtual start time of its flow by cost / share. Within a
+ * flow, requests with a higher priority are sent first, then those with an earlier latest start,
+ * then older ones. */
 typedef struct LcQueue LcQueue;
 typedef struct LcFlow LcFlow;
 
 /* A request's state in the queue, embedded in the request. */
 typedef struct
 {
-  LcHeapNode ready_node; /* node in LcFlow.ready; in no heap while deferred */
-  LcHeapNode drop_node;  /* node in LcFlow.drop_order */
+  LcHeapNode ready_node; /* node in the heap LcFlow.ready; in no heap while deferred */
+  LcHeapNode drop_node;  /* node in the heap LcFlow.drop_order */
   LbLink deferred_link;  /* link in the list of deferred requests (lc_queue_defer) */
   LcFlow *flow;          /* flow in which the request waits; NULL: it is not in the queue */
   uint64_t sequence;     /* number in order of admission; kept when the request is retried */
-  double cost;           /* tokens charged to the flow when sent; 1 if unknown, 0 for a retry */
-  int priority;          /* higher is sent first within a flow */
-  LbTime latest_start;   /* latest start that still lets the answer finish in time; 0: none */
+  double cost;  /* tokens charged to the flow when the request is sent; 1: unknown, 0: a retry */
+  int priority; /* within a flow, requests with a higher priority are sent first */
+  LbTime latest_start; /* latest start that still lets the answer finish in time; 0: none */
 } LcQueueEntry;
 
 typedef struct
--- a/packages/core/src/dispatch/lc-request.c
+++ b/packages/core/src/dispatch/lc-request.c
@@ -10,13 +10,13 @@
 #define MAX_ATTEMPTS 6
 
 static void *
-copy_or_null (const void *memory, size_t size)
+copy_memory_or_null (const void *memory, size_t size)
 {
   return size ? lb_memdup (memory, size) : NULL;
 }
 
 static double
-queue_cost_in_tokens (const LcRequestSpec *spec)
+compute_queue_cost_in_tokens (const LcRequestSpec *spec)
 {
   int64_t tokens = spec->prompt_tokens + spec->expected_tokens;
 
@@ -53,16 +53,16 @@
   request->min_version = spec->min_version;
   request->first_token = spec->resume_at;
   request->next_token = spec->resume_at;
-  request->queue_entry.cost = queue_cost_in_tokens (spec);
+  request->queue_entry.cost = compute_queue_cost_in_tokens (spec);
   request->queue_entry.latest_start = spec->latest_start;
   lb_list_init (&request->attempts);
   request->n_prefix_hashes
       = spec->n_prefix_hashes < LC_MAX_PREFIX_HASHES ? spec->n_prefix_hashes : LC_MAX_PREFIX_HASHES;
   request->prefix_hashes
-      = copy_or_null (spec->prefix_hashes, request->n_prefix_hashes * sizeof (uint64_t));
+      = copy_memory_or_null (spec->prefix_hashes, request->n_prefix_hashes * sizeof (uint64_t));
   request->n_avoid
       = spec->n_avoid < LC_MAX_AVOIDED_ENDPOINTS ? spec->n_avoid : LC_MAX_AVOIDED_ENDPOINTS;
-  request->avoid = copy_or_null (spec->avoid, request->n_avoid * sizeof (LbName));
+  request->avoid = copy_memory_or_null (spec->avoid, request->n_avoid * sizeof (LbName));
   return request;
 }
 
--- a/packages/core/src/dispatch/lc-request.h
+++ b/packages/core/src/dispatch/lc-request.h
@@ -13,7 +13,8 @@
   uint32_t number; /* sequence number within the request, from 1 */
   LbName endpoint;
   LbTime sent_at;
-  LbTime last_piece_at; /* when the last forwarded piece arrived; 0: none, or not streamed */
+  LbTime last_piece_at; /* when the last forwarded piece arrived; 0: none was forwarded, or the
+                           answer is not streamed */
   int64_t next_offset;  /* index of the next token expected from the endpoint */
   int64_t received_tokens;
   bool has_piece;
@@ -38,10 +39,10 @@
   LcHeapNode timer_node;
   LbTime timer_due; /* when the timer of the request expires; LB_TIME_NEVER: no timer */
   LbTime submitted;
-  LbTime deadline;       /* latest end of the answer */
+  LbTime deadline;       /* time by which the answer must be complete */
   LbTime soft_deadline;  /* desired completion time of the whole answer; 0: none */
   LbTime start_deadline; /* latest start of the first attempt; at most the deadline */
-  LbTime retry_at;       /* BACKOFF: when the request is queued again */
+  LbTime retry_at;       /* when the request is queued again after a backoff (LC_STATE_BACKOFF) */
   LbName caller;
   LbName flow;
   double share;
@@ -60,12 +61,13 @@
   int64_t prompt_tokens;
   int64_t expected_tokens;
   LcVersion min_version;
-  int64_t first_token;        /* index of the first token that the submitter wants */
-  int64_t next_token;         /* STREAM: index of the next token to forward to the submitter */
-  uint32_t forwarded_attempt; /* STREAM: attempt whose pieces are forwarded; 0: none */
+  int64_t first_token; /* index of the first token that the submitter wants */
+  int64_t next_token;  /* streamed answer: index of the next token to forward to the submitter */
+  uint32_t forwarded_attempt; /* streamed answer: attempt whose pieces are forwarded; 0: none */
   uint32_t n_attempts;        /* number of attempts sent; also LcAttempt.number of the last one */
-  LbTime hedge_after;         /* LcRequestSpec.hedge_after; raised when a hedge is postponed */
-  /* maximum number of attempts of the route; 0: only MAX_ATTEMPTS applies */
+  LbTime hedge_after; /* delay before a hedge, from LcRequestSpec.hedge_after; raised when the hedge
+                         is postponed */
+  /* maximum number of attempts that the route allows; 0: only MAX_ATTEMPTS applies */
   uint32_t max_attempts;
   uint32_t n_not_sent; /* number of attempts that ended before a byte was sent */
   uint32_t n_retries;
--- a/packages/core/src/dispatch/lc-retry.h
+++ b/packages/core/src/dispatch/lc-retry.h
@@ -22,8 +22,8 @@
 bool lc_retry_budgets_allow_retry (const LcRetryBudgets *budgets, const char *name);
 size_t lc_retry_budgets_count_buckets (const LcRetryBudgets *budgets);
 
-/* Returns a random delay before the next retry of a request. n_retries: its retries up to now; each
- * doubles the bound of the delay. */
+/* Returns a random delay before the next retry of a request. n_retries: number of earlier retries
+ * of the request; each doubles the upper bound of the delay. */
 LbTime lc_retry_delay (gsl_rng *random, uint32_t n_retries);
 
 #endif
--- a/packages/core/src/dispatch/lc-router-finish-time.c
+++ b/packages/core/src/dispatch/lc-router-finish-time.c
@@ -9,7 +9,8 @@
  * among the endpoints that arrivals since the last load reports may have filled to the same level
  * (see find_fill_level). See docs/design/0002-routing.md. */
 
-/* Seconds in one unit of LbTime, as a factor: a division for each candidate would cost more. */
+/* Seconds in one unit of LbTime. Used as a factor, because a division for each candidate would cost
+ * more. */
 #define SECONDS_PER_LB_TIME 1e-6
 /* One-way network latency between two data centres; latency within a data centre is taken as 0. */
 #define DATA_CENTRE_LATENCY ((double)LB_MSEC / 2)
@@ -32,7 +33,8 @@
 #define MIN_SILENCE_SECONDS 2.0
 /* Relative difference up to which two scores count as equal. */
 #define SCORE_TOLERANCE 0.002
-/* Weight in the draw, in requests, of an endpoint whose load cost is above the fill level. */
+/* Weight that draw_candidate gives an endpoint whose load cost is above the fill level, in requests
+ * like the weights of other endpoints. */
 #define MIN_DRAW_WEIGHT 0.01
 
 /* Inputs of a routing decision that are the same for all candidates. */
@@ -44,12 +46,13 @@
   const double *cached_shares;
   double mean_service_seconds;
   double expected_tokens;
-  double full_prefill_seconds;    /* time to process the whole prompt, if no part is cached */
-  double n_arrived_since_reports; /* requests that other instances have sent since the load reports,
-                                     without those bound to a cached prefix */
-  double prefix_bound_per_sent; /* requests that other instances have sent to an endpoint since its
-                                   report, bound to a cached prefix, per request that this instance
-                                   has sent to it */
+  double full_prefill_seconds; /* time to process the whole prompt, if no part is cached */
+  /* estimated number of requests that other instances have sent since the load reports, except
+   * requests routed to a cached prefix */
+  double n_arrived_since_reports;
+  /* estimated number of requests that other instances have routed to an endpoint's cached prefixes
+   * since the endpoint's report, per request that this instance has sent to the endpoint */
+  double prefix_bound_per_sent;
   double silence_limit_seconds;
   int data_centre;
   LbTime now;
--- a/packages/core/src/dispatch/lc-timers.c
+++ b/packages/core/src/dispatch/lc-timers.c
@@ -33,7 +33,7 @@
 }
 
 static LbTime
-next_timer_due (const LcDispatch *dispatch, const LcRequest *request)
+compute_next_timer_due (const LcDispatch *dispatch, const LcRequest *request)
 {
   switch (request->state)
     {
@@ -52,7 +52,7 @@
 void
 lc_dispatch_reschedule_request_timer (LcDispatch *dispatch, LcRequest *request)
 {
-  request->timer_due = next_timer_due (dispatch, request);
+  request->timer_due = compute_next_timer_due (dispatch, request);
   if (request->timer_due == LB_TIME_NEVER)
     lc_heap_remove (&dispatch->timers, &request->timer_node);
   else if (lc_heap_node_is_in_heap (&request->timer_node))
--- a/packages/core/src/endpoints/lc-batch-cost.c
+++ b/packages/core/src/endpoints/lc-batch-cost.c
@@ -11,7 +11,7 @@
 #define MAX_SLOWDOWN 5.0
 
 static void
-update_mean (double *mean, double value, double weight)
+update_weighted_mean (double *mean, double value, double weight)
 {
   *mean += weight * (value - *mean);
 }
@@ -22,10 +22,10 @@
   double weight = fmax (MIN_REPORT_WEIGHT, 1 / (cost->n_reports + 1));
 
   cost->n_reports++;
-  update_mean (&cost->mean_fill, fill, weight);
-  update_mean (&cost->mean_token_seconds, token_seconds, weight);
-  update_mean (&cost->mean_fill_squared, fill * fill, weight);
-  update_mean (&cost->mean_fill_token_seconds, fill * token_seconds, weight);
+  update_weighted_mean (&cost->mean_fill, fill, weight);
+  update_weighted_mean (&cost->mean_token_seconds, token_seconds, weight);
+  update_weighted_mean (&cost->mean_fill_squared, fill * fill, weight);
+  update_weighted_mean (&cost->mean_fill_token_seconds, fill * token_seconds, weight);
 }
 
 double
--- a/packages/core/src/endpoints/lc-breaker.c
+++ b/packages/core/src/endpoints/lc-breaker.c
@@ -40,8 +40,8 @@
   breaker->consecutive_failures = failed ? breaker->consecutive_failures + 1 : 0;
 }
 
-/* The failure ratio detects an endpoint that fails many requests, but never
- * CONSECUTIVE_FAILURES_TO_OPEN in a row. */
+/* Whether the breaker must open because of failures. The failure ratio detects an endpoint that
+ * fails many requests, but never CONSECUTIVE_FAILURES_TO_OPEN in a row. */
 static bool
 has_too_many_failures (const LcBreaker *breaker)
 {
--- a/packages/core/src/endpoints/lc-endpoints-config.c
+++ b/packages/core/src/endpoints/lc-endpoints-config.c
@@ -19,7 +19,7 @@
 }
 
 static void
-clear_groups (LcEndpoints *endpoints)
+clear_endpoint_groups (LcEndpoints *endpoints)
 {
   LcEndpointGroup *group = NULL;
   LcEndpointGroup *next = NULL;
@@ -37,7 +37,7 @@
 {
   if (!endpoints)
     return;
-  clear_groups (endpoints);
+  clear_endpoint_groups (endpoints);
   HASH_CLEAR (hh, endpoints->by_name);
   for (size_t i = 0; i < endpoints->n_entries; i++)
     free (endpoints->entries[i]);
@@ -59,7 +59,7 @@
 }
 
 static uint32_t
-allocate_slot (LcEndpoints *endpoints, const LcEndpointCache *prefix_cache)
+allocate_endpoint_slot (LcEndpoints *endpoints, const LcEndpointCache *prefix_cache)
 {
   uint32_t slot = 0;
 
@@ -93,7 +93,7 @@
   entry->index = endpoints->n_entries;
   entry->endpoint.member = *member;
   entry->name_hash = XXH3_64bits (member->name, strlen (member->name));
-  entry->cache.slot = allocate_slot (endpoints, &entry->cache);
+  entry->cache.slot = allocate_endpoint_slot (endpoints, &entry->cache);
   entry->endpoint.slot = entry->cache.slot;
   lc_endpoint_entry_invalidate_cached_prefixes (entry);
   entry->single_stream_token_seconds = DEFAULT_TOKEN_SECONDS;
@@ -166,7 +166,7 @@
 }
 
 static void
-make_group_key (char *key, size_t size, LcEndpointKind kind, const char *pool)
+make_endpoint_group_key (char *key, size_t size, LcEndpointKind kind, const char *pool)
 {
   key[0] = kind == LC_ENDPOINT_ENGINE ? 'e' : 's';
   lb_strlcpy (key + 1, pool, size - 1);
@@ -178,7 +178,7 @@
   LcEndpointGroup *group = NULL;
   char key[LB_NAME_MAX + 2];
 
-  make_group_key (key, sizeof key, kind, pool);
+  make_endpoint_group_key (key, sizeof key, kind, pool);
   HASH_FIND_STR (endpoints->groups, key, group);
   return group;
 }
@@ -192,7 +192,7 @@
   if (!group)
     {
       group = LB_NEW (LcEndpointGroup);
-      make_group_key (group->key, sizeof group->key, kind, entry->endpoint.member.pool);
+      make_endpoint_group_key (group->key, sizeof group->key, kind, entry->endpoint.member.pool);
       group->batch_slowdown = lc_batch_cost_full_batch_slowdown (&group->batch_cost);
       HASH_ADD_STR (endpoints->groups, key, group);
     }
@@ -228,7 +228,7 @@
 }
 
 static void
-rebuild_groups (LcEndpoints *endpoints, LbTime now)
+rebuild_endpoint_groups (LcEndpoints *endpoints, LbTime now)
 {
   LcEndpointGroup *group = NULL;
   LcEndpointGroup *next = NULL;
@@ -256,5 +256,5 @@
   for (size_t i = 0; i < set->n_endpoints; i++)
     add_or_update_endpoint (endpoints, &set->endpoints[i]);
   remove_retired_entries (endpoints);
-  rebuild_groups (endpoints, now);
+  rebuild_endpoint_groups (endpoints, now);
 }
--- a/packages/core/src/endpoints/lc-endpoints-query.c
+++ b/packages/core/src/endpoints/lc-endpoints-query.c
@@ -1,6 +1,7 @@
 #include "lc-endpoint-table.h"
 
-#define MAX_LIMITING_REPORT_AGE (10 * LB_SEC) /* an older load report no longer limits requests */
+/* A load report older than this no longer limits the requests to its endpoint. */
+#define MAX_LIMITING_REPORT_AGE (10 * LB_SEC)
 
 size_t
 lc_endpoints_count (const LcEndpoints *endpoints)
@@ -26,11 +27,12 @@
                                                 &entry->cache, now);
 }
 
-/* A weight swap that fails halfway leaves weights of unknown version: samples would have no version
- * label, and live callers would get answers from a half-loaded model. The endpoint gets no requests
- * until a report measured after the swap was due states a version. */
+/* A weight swap that fails halfway leaves weights of unknown version: the tokens of samples could
+ * not be attributed to a weight version, and live callers would get answers from a half-loaded
+ * model. The endpoint gets no requests until a load report measured after the swap was due states a
+ * version. */
 static bool
-has_known_weights (const LcEndpointEntry *entry, LbTime now)
+has_known_weight_version (const LcEndpointEntry *entry, LbTime now)
 {
   const LcEndpoint *endpoint = &entry->endpoint;
 
@@ -59,7 +61,7 @@
                      || (endpoint->member.reports_concurrency && endpoint->swap_pending
                          && now < endpoint->swap_until);
 
-  return !is_refusing && has_reported_or_replied (entry) && has_known_weights (entry, now)
+  return !is_refusing && has_reported_or_replied (entry) && has_known_weight_version (entry, now)
          && endpoint->in_flight < lc_breaker_max_in_flight (&entry->breaker, now);
 }
 
--- a/packages/core/src/endpoints/lc-endpoints.c
+++ b/packages/core/src/endpoints/lc-endpoints.c
@@ -142,9 +142,9 @@
   refresh_state_and_log_leaving (entry, LC_LEAVING_ENDPOINT, now);
 }
 
-/* The platform's list names no incarnation: pass "", and call
- * lc_endpoints_clear_platform_leaving_mark when the list no longer marks the endpoint. Peers always
- * name the incarnation. */
+/* For a mark from the platform's list of endpoints, which names no incarnation, pass "" as
+ * incarnation, and call lc_endpoints_clear_platform_leaving_mark when the list no longer marks the
+ * endpoint. Peers always name the incarnation. */
 bool
 lc_endpoints_mark_leaving (LcEndpoints *endpoints,
                            const char *name,
--- a/packages/core/src/endpoints/lc-prefix-index.c
+++ b/packages/core/src/endpoints/lc-prefix-index.c
@@ -19,7 +19,8 @@
 typedef struct
 {
   LbTime at;          /* time of the last request or cache event for the prefix */
-  float missed_decay; /* LcEndpointCache.missed_decay when the holder was added */
+  float missed_decay; /* value of LcEndpointCache.missed_decay when the holder was added; the decay
+                         counts from there */
   uint32_t slot;
   uint32_t epoch;
   bool is_confirmed; /* a cache event stated that the endpoint holds the prefix */
--- a/packages/core/src/endpoints/lc-roster.c
+++ b/packages/core/src/endpoints/lc-roster.c
@@ -8,17 +8,18 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* A longer gap between two lists shows that the store was unavailable, at least to this instance.
- * The usual time between two lists is several times shorter. */
+/* A longer gap between two lists of the registered endpoints shows that the store was unavailable,
+ * at least to this instance. The usual time between two lists is several times shorter. */
 #define MIN_OUTAGE_GAP (1500 * LB_MSEC)
 /* Time after an outage of the store during which endpoints missing in the list are kept. Live
  * endpoints renew their expired registrations within two seconds of the store's recovery; the rest
  * of this time is for the next list, which contains the renewed registrations. */
 #define OUTAGE_GRACE (2400 * LB_MSEC)
-/* Limits the load on the store: each list costs every instance one call. */
+/* Minimum time between two lists. Limits the load on the store, because every instance makes one
+ * call to the store for each list. */
 #define MIN_LIST_PERIOD (400 * LB_MSEC)
-/* Limits the cost of listing, which grows with the number of endpoints, to about 400 rows per
- * second up to MAX_LIST_PERIOD. */
+/* Time between two lists for each listed endpoint, up to MAX_LIST_PERIOD. Limits the cost of
+ * listing, which grows with the number of endpoints, to about 400 rows per second. */
 #define LIST_PERIOD_PER_ENDPOINT (LB_SEC / 400)
 /* A leaving endpoint must get no new requests later than 2 s after its announcement. This period,
  * the store's reply and the processing of the reply add up to half a second less. */
@@ -105,7 +106,7 @@
 }
 
 static Entry *
-add_entry (LcRoster *roster, const LcRegistration *registration, ChangeLog *added)
+add_endpoint_entry (LcRoster *roster, const LcRegistration *registration, ChangeLog *added)
 {
   if (roster->n_entries == roster->capacity)
     {
@@ -127,7 +128,7 @@
   bool changed = !entry || !describe_same_resource (&entry->registration, registration);
 
   if (!entry)
-    entry = add_entry (roster, registration, added);
+    entry = add_endpoint_entry (roster, registration, added);
   else if (registration->leaving && !entry->registration.leaving)
     log_registration_event ("endpoint_lists_leaving", registration);
   entry->registration = *registration;
@@ -180,7 +181,8 @@
         index++;
       size_t position = index;
       if (index == n_sorted || strcmp (roster->entries[index].registration.name, name) != 0)
-        /* A list may name an endpoint twice: the first mention was then appended last. */
+        /* A list may name an endpoint twice; the entry of its first occurrence was then appended
+         * last. */
         position = roster->n_entries - 1;
       bool is_known = position < roster->n_entries
                       && strcmp (roster->entries[position].registration.name, name) == 0;
@@ -228,7 +230,7 @@
 }
 
 static void
-remove_entry (LcRoster *roster, size_t index, ChangeLog *removed)
+remove_endpoint_entry (LcRoster *roster, size_t index, ChangeLog *removed)
 {
   log_endpoint_change (removed, &roster->entries[index].registration);
   memmove (&roster->entries[index], &roster->entries[index + 1],
@@ -248,7 +250,7 @@
       if (!successor)
         continue;
       inherit_planned_model (roster, &roster->entries[i], successor);
-      remove_entry (roster, i, &removed);
+      remove_endpoint_entry (roster, i, &removed);
     }
   log_change_summary (roster, &removed);
   return removed.n_changes > 0;
@@ -266,7 +268,7 @@
     return false;
   for (size_t i = roster->n_entries; i-- > 0;)
     if (!roster->entries[i].is_listed)
-      remove_entry (roster, i, &removed);
+      remove_endpoint_entry (roster, i, &removed);
   log_change_summary (roster, &removed);
   return removed.n_changes > 0;
 }
--- a/packages/core/src/endpoints/lc-scaling.c
+++ b/packages/core/src/endpoints/lc-scaling.c
@@ -9,8 +9,8 @@
 /* A model without a batch for this time is treated as no longer trained. The time is several times
  * the interval between two training steps. */
 #define DEMAND_LIFETIME (20 * LB_SEC)
-/* Minimum time between two orders for one location. An order without an answer may still be
- * executed seconds later; the next order corrects the number of endpoints. */
+/* Minimum time between two orders of spot endpoints for one location. An order without an answer
+ * may still be executed seconds later; the next order corrects the number of endpoints. */
 #define MIN_ORDER_INTERVAL (4 * LB_SEC)
 /* A location without capacity is skipped for this time, in favour of others. */
 #define REFUSAL_BACKOFF (5 * LB_SEC)
@@ -23,7 +23,7 @@
 {
   LbLink link;
   LbName model;
-  int64_t n_generations; /* size of the largest batch within DEMAND_LIFETIME */
+  int64_t n_generations; /* number of generations in the largest batch within DEMAND_LIFETIME */
   LbTime updated_at;
 } Demand;
 
@@ -140,9 +140,9 @@
   return "";
 }
 
-/* Returns the total number of generations in one step of each model that the service's engines
- * serve. Steps of one model are not added up: a step starts when most generations of the previous
- * step have ended. */
+/* Returns the number of generations in one training step, added up over the models that the
+ * service's engines serve. Only one step of each model counts, because a step starts when most
+ * generations of the previous step have ended. */
 static int64_t
 count_generations_per_step (const LcScaling *scaling,
                             const LcResourceSet *set,
@@ -279,8 +279,9 @@
   return limits->max > 0 && limits->spot_price > 0 && limits->spot_price < 1;
 }
 
-/* Called MIN_ORDER_INTERVAL after the order, when its endpoints have had time to start: if there
- * are fewer, some were preempted or never became available. */
+/* Whether the location has fewer spot endpoints than ordered, because some were preempted or never
+ * became available. Called MIN_ORDER_INTERVAL after the order or later, when the ordered endpoints
+ * have had time to start. */
 static bool
 has_fewer_endpoints_than_ordered (const Location *location, const LcResourceSet *set)
 {
--- a/packages/core/src/endpoints/lc-subset.c
+++ b/packages/core/src/endpoints/lc-subset.c
@@ -29,7 +29,8 @@
 typedef struct
 {
   LbName name;     /* hash table key */
-  LbName bound;    /* last key of the service's subset; "": the subset has all endpoints */
+  LbName bound;    /* largest row key in the service's subset of endpoints; "": the subset has all
+                      endpoints */
   size_t n_ready;  /* number of endpoints of the current list in the subset, without leaving ones */
   size_t n_models; /* maximum number of models that one engine holds; 0: a plain service */
   int64_t slots;   /* number of slots of one endpoint, from the latest row of the service */
@@ -38,8 +39,9 @@
   bool is_required;      /* pages are read until the subset has enough endpoints of the service */
   bool is_listed;        /* the current list has a row of the service */
   bool is_absent;        /* the last list of the whole table had no row of the service */
-  bool is_extended;      /* the current list extends the subset */
-  LbName sufficient_key; /* key at which the current list's subset is large enough; "": none */
+  bool is_extended;      /* the current list adds endpoints to the service's subset */
+  LbName sufficient_key; /* row key up to which the current list has enough endpoints of the
+                            service; "": not reached yet */
   UT_hash_handle hh;
 } Service;
 
@@ -192,7 +194,7 @@
 }
 
 static bool
-service_needs_next_page (const LcSubset *subset, const Service *service, const char *last_key)
+does_service_need_next_page (const LcSubset *subset, const Service *service, const char *last_key)
 {
   if (!service->is_required || service->is_absent)
     return false;
@@ -247,7 +249,7 @@
     }
   set_initial_subset_bounds (subset);
   for (const Service *service = subset->services; service; service = service->hh.next)
-    if (service_needs_next_page (subset, service, last_key))
+    if (does_service_need_next_page (subset, service, last_key))
       return true;
   subset->page_size = compute_next_page_size (subset, false);
   return false;
