--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -73,8 +73,8 @@
   LbTime snapshot_received_at; /* 0: there is no snapshot yet */
   /* State that is used only while this instance publishes. */
   Listing *listings;             /* hash table with one listing for each list */
-  bool all_changes_written;      /* all changes of the listings are in writes that were prepared */
-  int64_t last_expected_version; /* expected version of the last write; -1: there was none */
+  bool all_changes_written;      /* each change that the listings show is in a prepared write */
+  int64_t last_expected_version; /* row version that the last write expected; -1: none written */
   LbTime last_write_at;
 };
 
@@ -210,8 +210,8 @@
   return time * catalog->publisher_period / LC_CATALOG_LISTING_PERIOD;
 }
 
-/* An unreadable row counts as a row without a publisher: it no longer changes, so another instance
- * takes over and replaces it. */
+/* A publisher's row that can't be parsed counts as naming no publisher. The row then no longer
+ * changes, so another instance takes over as publisher and replaces the row. */
 static void
 apply_publisher_row (LcCatalog *catalog, const char *value, int64_t version)
 {
@@ -446,7 +446,7 @@
 /* Adds the items that are new or differ from the table; returns false when not all fit into the
  * write. */
 static bool
-add_changed_items (const LcCatalog *catalog, const Listing *listing, LcCatalogWrite *write)
+add_changed_items_to_write (const LcCatalog *catalog, const Listing *listing, LcCatalogWrite *write)
 {
   for (size_t i = 0; i < listing->n_items; i++)
     {
@@ -471,7 +471,7 @@
 /* Adds deletions of the rows that are no longer listed; returns false when not all fit into the
  * write. */
 static bool
-add_deleted_rows (const LcCatalog *catalog, const Listing *listing, LcCatalogWrite *write)
+add_row_deletions_to_write (const LcCatalog *catalog, const Listing *listing, LcCatalogWrite *write)
 {
   ListedKey *keys = LB_NEW_ARRAY (ListedKey, listing->n_items + 1);
   ListedKey *listed_keys = NULL;
@@ -498,10 +498,11 @@
 }
 
 static bool
-add_all_changes (const LcCatalog *catalog, LcCatalogWrite *write)
+add_all_changes_to_write (const LcCatalog *catalog, LcCatalogWrite *write)
 {
   for (const Listing *listing = catalog->listings; listing; listing = listing->hh.next)
-    if (!add_changed_items (catalog, listing, write) || !add_deleted_rows (catalog, listing, write))
+    if (!add_changed_items_to_write (catalog, listing, write)
+        || !add_row_deletions_to_write (catalog, listing, write))
       return false;
   return true;
 }
@@ -528,7 +529,7 @@
   if (!can_write_changes (catalog, now))
     return false;
   append_put_to_write (write, (LcCatalogPut){ .key = lb_strdup (PUBLISHER_KEY), .value = NULL });
-  bool is_complete = add_all_changes (catalog, write);
+  bool is_complete = add_all_changes_to_write (catalog, write);
   write->puts[0].value = format_publisher_row (catalog, is_complete);
   write->expected_version = catalog->publisher_version;
   catalog->last_expected_version = catalog->publisher_version;
--- a/packages/core/src/membership/lc-duty.c
+++ b/packages/core/src/membership/lc-duty.c
@@ -7,8 +7,9 @@
 /* Minimum strength (capacity of a machine); also used for machines that report none. */
 #define MIN_STRENGTH 1
 
-/* Processor and link both limit a duty: the processor parses the texts of a batch, and the link
- * carries them twice. */
+/* Returns a number proportional to processor share and link speed. Both limit the machine that
+ * holds a duty (a task that one instance does for all): the processor parses the texts of a batch,
+ * and the link carries these texts twice. */
 int64_t
 lc_duty_machine_strength (double processor_share, double link_mbps)
 {
@@ -17,7 +18,7 @@
 
 /* Pseudo-random number in (0, 1), computed only from the names of the duty and the instance. */
 static double
-hash_to_unit_interval (const char *duty, const char *instance)
+hash_names_to_unit_interval (const char *duty, const char *instance)
 {
   uint64_t hash
       = XXH3_64bits_withSeed (instance, strlen (instance), XXH3_64bits (duty, strlen (duty)));
@@ -28,17 +29,18 @@
 /* Weighted rendezvous hashing: a candidate has the highest score with a probability equal to its
  * share of the sum of squared strengths. A candidate that joins or leaves does not reorder the
  * others. With weights equal to the strength, a tenth of the duties went to weak machines at sites
- * with many of them, where a batch started 0.3 s late. */
+ * with many weak machines, and a batch started 0.3 s late on such a machine. */
 static double
 compute_candidate_score (const char *duty, const LcDutyCandidate *candidate)
 {
   int64_t strength = candidate->strength > MIN_STRENGTH ? candidate->strength : MIN_STRENGTH;
 
-  return -(double)strength * (double)strength / log (hash_to_unit_interval (duty, candidate->name));
+  return -(double)strength * (double)strength
+         / log (hash_names_to_unit_interval (duty, candidate->name));
 }
 
 /* The range of sort keys suffices for all strengths from a thousandth of a core with 1 Mbit/s
- * upwards, although scores grow with the square. */
+ * upwards, although scores grow with the square of the strength. */
 int64_t
 lc_duty_sort_key (const char *duty, const LcDutyCandidate *candidate)
 {
@@ -49,7 +51,7 @@
 
 /* Ties are broken by name, so that no two candidates have the same position. */
 static bool
-is_ranked_before (const char *duty, const LcDutyCandidate *a, const LcDutyCandidate *b)
+is_candidate_ranked_before (const char *duty, const LcDutyCandidate *a, const LcDutyCandidate *b)
 {
   double score_a = compute_candidate_score (duty, a);
   double score_b = compute_candidate_score (duty, b);
@@ -78,13 +80,13 @@
   if (!own)
     return n_candidates;
   for (size_t i = 0; i < n_candidates; i++)
-    rank += &candidates[i] != own && is_ranked_before (duty, &candidates[i], own);
+    rank += &candidates[i] != own && is_candidate_ranked_before (duty, &candidates[i], own);
   return rank;
 }
 
-/* Keeps the current holder while it is a candidate, and chooses by score only when nobody holds the
- * duty. Moving a duty back to an instance that was briefly away is costly: the batches of a model
- * then open a new connection for each slot of each engine. */
+/* Keeps the current holder of the duty while the holder is a candidate, and chooses by score only
+ * when nobody holds the duty. Moving a duty back to an instance that was briefly away is costly,
+ * because the batches of a model then open a new connection for each slot of each engine. */
 const char *
 lc_duty_choose_holder (const char *duty,
                        const char *current,
@@ -96,7 +98,7 @@
   if (best)
     return best->name;
   for (size_t i = 0; i < n_candidates; i++)
-    if (!best || is_ranked_before (duty, &candidates[i], best))
+    if (!best || is_candidate_ranked_before (duty, &candidates[i], best))
       best = &candidates[i];
   return best ? best->name : "";
 }
--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -173,7 +173,7 @@
 }
 
 static bool
-have_same_state (const LcFleetRow *a, const LcFleetRow *b)
+do_rows_have_same_state (const LcFleetRow *a, const LcFleetRow *b)
 {
   return strcmp (a->incarnation, b->incarnation) == 0 && a->ready == b->ready
          && a->draining == b->draining && a->cut == b->cut && a->clock_lead_ms == b->clock_lead_ms
@@ -216,7 +216,7 @@
   member->is_in_list = true;
   if (version <= member->version)
     return;
-  fleet->changed |= !have_same_state (&member->row, row) || !member->confirmed;
+  fleet->changed |= !do_rows_have_same_state (&member->row, row) || !member->confirmed;
   member->confirmed = true;
   member->row = *row;
   member->version = version;
@@ -247,8 +247,8 @@
             LB_INT ("silent_us", now - member->version_seen_at));
 }
 
-/* Logs one line for all new instances: otherwise each of 300 instances would log 300 lines when a
- * site starts. */
+/* Logs one line for all new instances, because otherwise each of 300 instances would log 300 lines
+ * when a site starts. */
 static void
 log_new_members (const LcFleet *fleet)
 {
@@ -284,9 +284,9 @@
   return fleet->changed;
 }
 
-/* Whether the row on duty replaces the general row of an instance. Within one incarnation it does,
- * since it is renewed more often and shows a death sooner. If the incarnations differ, the newer
- * row is used. */
+/* Whether the row that an instance has in the list of instances on duty replaces its row in the
+ * list of all instances. Within one incarnation the row on duty is used, since that row is renewed
+ * more often and shows a death sooner. If the incarnations differ, the newer row is used. */
 static bool
 is_duty_row_preferred (const LcFleetMember *on_duty, const LcFleetMember *other)
 {
--- a/packages/core/src/membership/lc-lease.c
+++ b/packages/core/src/membership/lc-lease.c
@@ -8,8 +8,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Time that candidates add to the expiry of the lease and the holder subtracts from it. It covers
- * the time that an order needs from the holder's check to the engine. */
+/* Time that candidates add to the expiry of the lease and the holder subtracts from the expiry. It
+ * covers the time from the holder's check of the lease to the arrival of the holder's order at the
+ * engine. */
 #define EXPIRY_SAFETY_MARGIN (100 * LB_MSEC)
 #define CLAIM_DELAY_PER_RANK (500 * LB_MSEC)
 #define MAX_UNDETECTED_PAUSE LB_SEC
@@ -137,7 +138,7 @@
 }
 
 static LcLeaseAction *
-add_action (LbList *actions, LcLeaseActionType type)
+append_lease_action (LbList *actions, LcLeaseActionType type)
 {
   LcLeaseAction *action = LB_NEW (LcLeaseAction);
 
@@ -153,21 +154,22 @@
          && strcmp (lease->row.incarnation, lease->settings.incarnation) == 0;
 }
 
-/* Expiry of the lease for its holder: the shortest duration that any clock within the allowed drift
- * may measure, counted from the start of the holder's write. */
+/* Returns the expiry of the lease as the holder computes it: the start of the holder's write plus
+ * the shortest duration that any clock within the allowed drift may measure. */
 static LbTime
-compute_expiry_for_holder (const LcLease *lease, LbTime write_started_at)
+compute_lease_expiry_for_holder (const LcLease *lease, LbTime write_started_at)
 {
   return write_started_at
          + (LbTime)(lease->settings.duration * (1 - lease->settings.max_clock_drift))
          - EXPIRY_SAFETY_MARGIN;
 }
 
-/* Expiry of the lease for all but its holder: the longest duration, counted from the first read of
- * the renewal. With the margins on both sides no two instances hold the lease at once, even if
- * their clocks differ; two holders would switch an engine back and forth between two versions. */
+/* Returns the expiry of the lease as all instances but the holder compute it: the first read of the
+ * renewal plus the longest duration that any clock within the allowed drift may measure. With the
+ * margins on both sides no two instances hold the lease at once, even if their clocks differ; two
+ * holders would switch an engine back and forth between two versions. */
 static LbTime
-compute_expiry_for_others (const LcLease *lease)
+compute_lease_expiry_for_others (const LcLease *lease)
 {
   return lease->version_seen_at
          + (LbTime)(lease->settings.duration * (1 + lease->settings.max_clock_drift))
@@ -182,13 +184,13 @@
   lease->held = false;
   lease->lost_at = now;
   lb_metric_add (&metric_lost, 1);
-  add_action (actions, LC_LEASE_LOST)->row = lease->row;
+  append_lease_action (actions, LC_LEASE_LOST)->row = lease->row;
 }
 
 static void
 start_row_write (LcLease *lease, const LcLeaseRow *row, LbTime now, LbList *actions)
 {
-  LcLeaseAction *action = add_action (actions, LC_LEASE_WRITE);
+  LcLeaseAction *action = append_lease_action (actions, LC_LEASE_WRITE);
 
   lease->is_writing = true;
   lease->last_written = *row;
@@ -219,8 +221,8 @@
 
   if (row->released)
     return;
-  if (compute_expiry_for_holder (lease, write_started_at) > lease->valid_until)
-    lease->valid_until = compute_expiry_for_holder (lease, write_started_at);
+  if (compute_lease_expiry_for_holder (lease, write_started_at) > lease->valid_until)
+    lease->valid_until = compute_lease_expiry_for_holder (lease, write_started_at);
   if (lease->needs_confirmation && write_started_at >= lease->paused_at)
     lease->needs_confirmation = false;
   if (lease->held || now >= lease->valid_until || lease->is_releasing)
@@ -233,7 +235,7 @@
     }
   lease->gained_fence = row->fence;
   lb_metric_add (&metric_gained, 1);
-  add_action (actions, LC_LEASE_GAINED)->row = *row;
+  append_lease_action (actions, LC_LEASE_GAINED)->row = *row;
 }
 
 static void
@@ -259,7 +261,7 @@
       || lease->ended_holder_version == lease->row_version)
     return now >= lease->version_seen_at + lease->rank * CLAIM_DELAY_PER_RANK;
   return lease->read_started_at
-         >= compute_expiry_for_others (lease) + lease->rank * CLAIM_DELAY_PER_RANK;
+         >= compute_lease_expiry_for_others (lease) + lease->rank * CLAIM_DELAY_PER_RANK;
 }
 
 void
@@ -275,7 +277,7 @@
  * suspended, as a jump of the wall clock relative to the monotonic clock. No order is given until a
  * renewal has succeeded. */
 static void
-detect_pause (LcLease *lease, LbTime now, LbTime wall)
+detect_process_pause (LcLease *lease, LbTime now, LbTime wall)
 {
   LbTime elapsed = now - lease->last_tick_at;
   LbTime elapsed_wall = wall - lease->last_tick_wall;
@@ -294,7 +296,7 @@
 void
 lc_lease_tick (LcLease *lease, LbTime now, LbTime wall, LbList *actions)
 {
-  detect_pause (lease, now, wall);
+  detect_process_pause (lease, now, wall);
   if (lease->held && now >= lease->valid_until)
     lose_lease (lease, now, actions);
   if (now < lease->next_read_at || lease->is_reading || lease->is_writing)
@@ -304,11 +306,11 @@
   bool is_participant = lease->rank >= 0 || is_row_held_by_self (lease);
   lease->next_read_at
       = now + (is_participant ? lease->settings.poll_period : lease->settings.observer_poll_period);
-  add_action (actions, LC_LEASE_READ);
+  append_lease_action (actions, LC_LEASE_READ);
 }
 
 static void
-record_read_row (LcLease *lease, const LcLeaseRow *row, int64_t version, LbTime now)
+record_lease_row_read (LcLease *lease, const LcLeaseRow *row, int64_t version, LbTime now)
 {
   if (lease->has_read && version == lease->row_version)
     return;
@@ -331,18 +333,18 @@
 {
   lease->is_reading = false;
   if (error == LB_ERROR_NOT_FOUND)
-    record_read_row (lease, NULL, 0, now);
+    record_lease_row_read (lease, NULL, 0, now);
   else if (error != LB_OK)
     return;
   else if (version < lease->row_version)
     {
-      /* A lagging replica still shows the row of the previous holder; acting on it would make the
-       * holder drop its lease. */
+      /* A lagging replica of the store still shows the row of the previous holder; acting on that
+       * row would make the current holder drop the lease. */
       lease->next_read_at = now + STALE_READ_RETRY_DELAY;
       return;
     }
   else
-    record_read_row (lease, row, version, now);
+    record_lease_row_read (lease, row, version, now);
   if (is_row_held_by_self (lease))
     {
       gain_or_extend_lease (lease, &lease->row, now, actions);
@@ -354,8 +356,8 @@
     claim_lease (lease, now, actions);
 }
 
-/* After a write that lost a race or has an unknown outcome, the next read decides: the row contains
- * the renewal number of the write that produced it. */
+/* After a write that lost a race or has an unknown outcome, the next read shows who holds the
+ * lease, because the row contains the renewal number of the write that produced the row. */
 void
 lc_lease_write_completed (LcLease *lease, LbErrorCode error, LbTime now, LbList *actions)
 {
@@ -390,8 +392,8 @@
 
 /* A newer incarnation under the holder's name shows that the holder was restarted. A holder that no
  * longer renews its instance row may merely be cut off from the store. But endpoints that have seen
- * the next holder's fencing token refuse its orders, and it stops by itself when its lease
- * expires. */
+ * the next holder's fencing token refuse the orders of such a holder, and the holder itself stops
+ * when its lease expires. */
 bool
 lc_lease_holder_has_ended (const LcLease *lease, const LcLeaseHolderView *view)
 {
@@ -423,8 +425,9 @@
 }
 
 /* An endpoint that does not check fencing tokens could carry out an order of the previous holder
- * after one of this instance. So it gets its first order only when orders of the previous holder
- * have expired; the weight version that it then reports is read back. */
+ * after one of this instance. So such an endpoint gets its first order from this instance only when
+ * orders of the previous holder have expired; the weight version that the endpoint then reports is
+ * read back. */
 bool
 lc_lease_allows_order (const LcLease *lease, bool can_order_unfenced, LbTime now)
 {
--- a/packages/core/src/membership/lc-membership-connect.c
+++ b/packages/core/src/membership/lc-membership-connect.c
@@ -9,7 +9,7 @@
 #define MAX_RETURN_COMPARE_DELAY (3 * LB_SEC)
 
 /* Starts using a connection after its handshake. The handshake contains only the peer's own state;
- * if other instances consider the peer suspect or dead, it is told so and can refute. */
+ * if other instances consider the peer suspect or dead, the peer is told so and can refute. */
 static void
 activate_opened_link (
     LcMembership *membership, LcPeerLink *link, const LcInstance *peer, LbTime now, LbList *actions)
@@ -35,8 +35,8 @@
   return strcmp (peer->name, membership->self.name) == 0;
 }
 
-/* Returns 0 when the peer has this instance's name: a seed is the instance's own address, or two
- * instances were given the same name. */
+/* Returns 0 when the peer has this instance's name, because a seed is this instance's own address
+ * or because two instances were given the same name. */
 LcLinkId
 lc_membership_link_accepted (LcMembership *membership,
                              const LcInstance *peer,
@@ -61,7 +61,10 @@
  * declared dead. So after the loss of a connection this instance only stops giving the member's
  * address to callers and dials the member at once. Only a failed dial makes the member suspect. */
 static void
-silence_and_redial_member (LcMembership *membership, LcMember *member, LbTime now, LbList *actions)
+mark_member_silent_and_redial (LcMembership *membership,
+                               LcMember *member,
+                               LbTime now,
+                               LbList *actions)
 {
   if (member->instance.state == LC_INSTANCE_DEAD)
     return;
@@ -75,8 +78,8 @@
   lc_membership_dial_member (membership, member, now, actions);
 }
 
-/* Makes the member suspect after a failed dial, unless another connection to it works or it refuted
- * a suspicion recently. */
+/* Makes the member suspect after a failed dial, unless another connection to the member works or
+ * the member refuted a suspicion recently. */
 static void
 suspect_member_after_failed_dial (LcMembership *membership, LcMember *member, LbTime now)
 {
@@ -150,7 +153,7 @@
   if (!was_open)
     suspect_member_after_failed_dial (membership, member, now);
   else if (was_outgoing)
-    silence_and_redial_member (membership, member, now, actions);
+    mark_member_silent_and_redial (membership, member, now, actions);
 }
 
 void
--- a/packages/core/src/membership/lc-membership-contacts.c
+++ b/packages/core/src/membership/lc-membership-contacts.c
@@ -34,7 +34,7 @@
 }
 
 /* Adds the address of a seed, through which this instance finds the cluster. The address is dialled
- * while no live member has it. */
+ * while no live member has this address. */
 void
 lc_membership_add_seed (LcMembership *membership, const char *address, LbTime now)
 {
@@ -103,10 +103,11 @@
   return true;
 }
 
-/* Reservoir sampling: whether the next candidate replaces the choice so far, for the n-th with
- * probability 1/n. So each of an unknown number of candidates is chosen with equal probability. */
+/* Whether the next candidate replaces the one chosen so far: the n-th candidate with probability
+ * 1/n. By this reservoir sampling each of an unknown number of candidates is chosen with equal
+ * probability. */
 static bool
-should_replace_random_choice (LcMembership *membership, unsigned long *n_candidates)
+should_replace_chosen_candidate (LcMembership *membership, unsigned long *n_candidates)
 {
   return gsl_rng_uniform_int (membership->rng, ++*n_candidates) == 0;
 }
@@ -130,12 +131,12 @@
   LB_LIST_FOREACH (&membership->contacts, LcContact, link, contact)
   {
     if (!has_live_member_at (membership, contact->address)
-        && should_replace_random_choice (membership, &n_candidates))
+        && should_replace_chosen_candidate (membership, &n_candidates))
       address = contact->address;
   }
   for (const LcMember *member = membership->members; member; member = member->hh.next)
     if (member->instance.state == LC_INSTANCE_DEAD
-        && should_replace_random_choice (membership, &n_candidates))
+        && should_replace_chosen_candidate (membership, &n_candidates))
       {
         name = member->instance.name;
         address = member->instance.peer_address;
--- a/packages/core/src/quarantine/lc-crash-log.h
+++ b/packages/core/src/quarantine/lc-crash-log.h
@@ -3,7 +3,7 @@
 
 #include "lc-quarantine.h"
 
-/* Crash reports of a quarantine, grouped by crash. */
+/* This header declares the log of a quarantine's crash reports, grouped by crash. */
 
 typedef struct
 {
@@ -18,7 +18,7 @@
   LbList entries; /* list of LcReportEntry; never empty */
   LbName endpoint;
   LbTime crashed_at;  /* time of the earliest report */
-  bool is_attributed; /* attributed to a quarantined fingerprint; set by the quarantine */
+  bool is_attributed; /* the quarantine has attributed the crash to a quarantined fingerprint */
 } LcCrash;
 
 typedef struct
--- a/packages/core/src/quarantine/lc-quarantine.c
+++ b/packages/core/src/quarantine/lc-quarantine.c
@@ -16,8 +16,9 @@
  * endpoint restarts an hour. A request that was quarantined wrongly, or whose fault was repaired,
  * is allowed again within an hour. */
 #define REPORT_LIFETIME (3600 * LB_SEC)
-/* An answer to a request also clears it of crashes up to this long after the answer: many callers
- * may send the same request, and all endpoints may crash at once for another reason. */
+/* An answer proves the request harmless. The answer also clears the request of crashes up to this
+ * long after the answer, because many callers may send the same request and all endpoints may crash
+ * at once for another reason. */
 #define CLEARANCE_WINDOW (2 * LB_SEC)
 /* Number of recorded answers: five seconds of answers at two hundred a second on one instance. */
 #define MAX_RECENT_ANSWERS 1024
@@ -27,7 +28,7 @@
 {
   UT_hash_handle hh;
   LcFingerprint fingerprint;
-  int n_crashes;               /* crashes not attributed to a quarantined fingerprint */
+  int n_crashes; /* number of crashes, except those attributed to a quarantined fingerprint */
   const LcCrash *last_counted; /* the last crash that was counted for this suspect */
   LbTime threshold_at;         /* when the MIN_CRASHES-th counted crash happened */
   LbTime quarantined_until;    /* end of the quarantine; 0: not in quarantine */
@@ -54,7 +55,8 @@
   RecentAnswer answers[MAX_RECENT_ANSWERS]; /* ring buffer of the last answers to requests of this
                                                instance */
   size_t next_answer;
-  LbList pending_clearances; /* list of PendingClearance, to be announced to the other instances */
+  LbList pending_clearances; /* fingerprints proved harmless (PendingClearance), to be announced to
+                                the other instances */
 };
 
 typedef struct
@@ -275,10 +277,10 @@
                                             LcFingerprint fingerprint,
                                             LbTime answered_at);
 
-/* Clears the fingerprints in the report whose requests were answered on this instance shortly
- * before the crash or after it. */
+/* Records as harmless the fingerprints of the crash report whose requests were answered on this
+ * instance shortly before the crash or after the crash. */
 static void
-clear_recently_answered_requests (LcQuarantine *quarantine, const LcCrashReport *report)
+clear_recently_answered_fingerprints (LcQuarantine *quarantine, const LcCrashReport *report)
 {
   for (size_t i = 0; i < MAX_RECENT_ANSWERS; i++)
     {
@@ -312,7 +314,7 @@
 {
   if (report->at + REPORT_LIFETIME <= now || !lc_crash_log_add_report (&quarantine->log, report))
     return;
-  clear_recently_answered_requests (quarantine, report);
+  clear_recently_answered_fingerprints (quarantine, report);
   recompute_quarantine (quarantine);
   log_quarantined_requests (quarantine, report, now);
 }
