--- a/packages/core/bench/bench-routing.c
+++ b/packages/core/bench/bench-routing.c
@@ -36,7 +36,7 @@
   double seconds;
   int seeds;
   double rate;
-  const char *policy; /* NULL: all policies */
+  const char *policy; /* name of the only policy to compare; NULL: all policies */
   LbTime report_lag;
   double lost_event_share;
   double first_engine_speed;
@@ -50,7 +50,7 @@
   LbList queue;
 } Instance;
 
-/* A load report or a cache event of an endpoint, on its way to an instance. */
+/* A load report or a cache event of an endpoint, in transit to an instance. */
 typedef struct
 {
   LbLink link;
--- a/packages/core/bench/fake-peers.c
+++ b/packages/core/bench/fake-peers.c
@@ -26,7 +26,7 @@
 typedef struct
 {
   LbTime at;
-  uint64_t sequence; /* events at the same time are handled in this order */
+  uint64_t sequence; /* order number; events at the same time are handled in this order */
   EventType type;
   size_t node; /* index of the instance that handles the event */
   size_t connection;
@@ -45,7 +45,7 @@
 
 typedef struct
 {
-  LcMembership *membership; /* NULL: the instance was never started */
+  LcMembership *membership; /* membership state of the instance; NULL: it was never started */
   FakeState state;
   int partition_group;
   int64_t bytes;
--- a/packages/core/src/membership/lc-membership-private.h
+++ b/packages/core/src/membership/lc-membership-private.h
@@ -10,8 +10,7 @@
 #define LC_MEMBERSHIP_MAX_RINGS 8
 /* Minimum time between two comparisons of views that this instance starts with any peer. */
 #define LC_COMPARE_INTERVAL LB_SEC
-/* Heartbeat periods for which the digests of two peers differ before the peers compare their views.
- */
+/* Two peers compare views when their digests have differed for this many heartbeat periods. */
 #define LC_COMPARE_AFTER_PERIODS 4
 
 typedef struct
--- a/packages/sim/include/lx-audit.h
+++ b/packages/sim/include/lx-audit.h
@@ -10,11 +10,12 @@
 
 typedef enum
 {
-  LX_VIOLATION_LOST,              /* a step was reported complete although samples are missing */
-  LX_VIOLATION_DOUBLED,           /* a trainer received the same sample twice */
-  LX_VIOLATION_STALE,             /* a delivered sample was too stale by the engines' record */
-  LX_VIOLATION_MISLABELLED,       /* a sample's version label differs from the engines' record */
-  LX_VIOLATION_NOT_WHOLE,         /* a complete answer has missing, duplicate or surplus tokens */
+  LX_VIOLATION_LOST,        /* a step was reported complete although samples are missing */
+  LX_VIOLATION_DOUBLED,     /* a trainer received the same sample twice */
+  LX_VIOLATION_STALE,       /* weights of a delivered sample were too old by the engines' record */
+  LX_VIOLATION_MISLABELLED, /* a sample's reported weight versions differ from the engines' record
+                             */
+  LX_VIOLATION_NOT_WHOLE,   /* a complete answer has missing, duplicate or surplus tokens */
   LX_VIOLATION_RAN_AFTER_NOT_RUN, /* an endpoint started a request reported as "not run" */
   LX_VIOLATION_RAN_TWICE,         /* a non-repeatable request was started twice */
   LX_VIOLATION_SENT_TO_LEAVING, /* new work was sent to an endpoint long after it began to leave */
@@ -90,7 +91,7 @@
 /* --- functions that only read the audit --- */
 LxJob *lx_audit_get_job (LxAudit *audit, uint64_t job);
 int64_t lx_audit_count_violations (const LxAudit *audit);
-/* Computes the correct version label of a text from the engines' record. */
+/* Computes the weight versions of the tokens of a text from the engines' record. */
 void lx_audit_compute_version_label (const LxAudit *audit, const LxText *text, LcLabel *label);
 /* Returns the share, 0..1, of the tokens generated for completed steps that no trainer received. */
 double lx_audit_compute_wasted_token_ratio (const LxAudit *audit);
--- a/packages/sim/include/lx-callers.h
+++ b/packages/sim/include/lx-callers.h
@@ -13,7 +13,7 @@
 typedef struct
 {
   uint64_t job;
-  LbTime ended_at; /* 0: the call is in progress */
+  LbTime ended_at; /* when the call ended; 0: it is in progress */
   LbErrorCode error;
 } LxCallResult;
 
@@ -35,11 +35,11 @@
   uint64_t job;
   LcRequestKind kind;
   LbTime sent_at;
-  LbTime first_piece_at; /* 0: no piece received yet */
+  LbTime first_piece_at; /* when the first piece was received; 0: none yet */
   int64_t total_tokens;  /* length of the complete answer */
   bool is_reported_stuck;
   LxText text;
-  LxCallResult *result; /* NULL: not a call of a trace */
+  LxCallResult *result; /* result of a call that a trace requests; NULL: any other call */
 } LxCall;
 
 /* Simulated callers that send model and service calls at random times. The prompts of model calls
@@ -51,8 +51,8 @@
   LbList open_calls;
   uint64_t n_calls;
   int64_t answered;
-  int64_t refused; /* calls with a "not run" error */
-  int64_t failed;  /* calls with any other error; they may have run */
+  int64_t refused; /* number of calls that ended with a "not run" error */
+  int64_t failed;  /* number of calls that ended with any other error; these may have run */
   /* latencies of the answered model calls */
   double *latencies_ms;
   size_t n_latencies;
--- a/packages/sim/include/lx-instance.h
+++ b/packages/sim/include/lx-instance.h
@@ -32,8 +32,8 @@
   LcRequestId id;
   LcRequestSpec spec;
   uint64_t job;
-  LxCall *call;                    /* NULL: the request generates a sample */
-  LxText text;                     /* text of the answer, set when the request ends */
+  LxCall *call; /* call that the request executes; NULL: the request generates a sample */
+  LxText text;  /* text of the answer, set when the request ends */
   uint32_t last_forwarded_attempt; /* number of the attempt that last forwarded a piece; 0: none */
   LxAttempt *attempts;
   size_t n_attempts;
@@ -69,7 +69,7 @@
   LbList dispatch_actions;
   LbList rollout_actions;
   LbTime next_tick_at;
-  uint64_t *cache_cursors; /* by endpoint: sequence of the last applied LxCacheEvent */
+  uint64_t *cache_cursors; /* for each endpoint: sequence number of the last applied LxCacheEvent */
 } LxInstance;
 
 /* A piece or the end of an attempt, in transit from an endpoint to an instance. */
--- a/packages/sim/include/lx-registry.h
+++ b/packages/sim/include/lx-registry.h
@@ -15,8 +15,8 @@
 {
   struct LxWorld *world;
   LcResourceSet *accepted;
-  LbTime accepted_at[LX_MAX_REVISIONS];     /* by revision: time of the commit */
-  LbTime first_active_at[LX_MAX_REVISIONS]; /* by revision; 0: not active on any instance yet */
+  LbTime accepted_at[LX_MAX_REVISIONS];     /* commit time of each revision */
+  LbTime first_active_at[LX_MAX_REVISIONS]; /* first activation of each revision; 0: not yet */
   int64_t n_accepted;
   int64_t n_conflicts; /* number of changes refused because another change came first */
 } LxRegistry;
--- a/packages/sim/include/lx-site.h
+++ b/packages/sim/include/lx-site.h
@@ -20,7 +20,7 @@
   size_t n_services;   /* number of endpoints of the service */
   size_t n_instances;
   LcPreset preset;
-  int64_t max_lag; /* largest allowed staleness of a sample, in versions */
+  int64_t max_lag; /* largest allowed age of a sample's weights, in versions */
 } LxSite;
 
 /* Returns NULL if no site has this name. */
--- a/packages/sim/include/lx-store.h
+++ b/packages/sim/include/lx-store.h
@@ -8,7 +8,8 @@
 /* Share of the store calls that get no reply while the fault LX_FAULT_REPLIES_LOST is active. */
 #define LX_LOST_REPLY_SHARE 0.33
 
-/* A table row: the ledger of a step, and the only session that may write the row. */
+/* A table row, which holds the ledger of a step, and the number of the only session that may write
+ * the row. */
 typedef struct
 {
   UT_hash_handle hh;
--- a/packages/sim/include/lx-trace.h
+++ b/packages/sim/include/lx-trace.h
@@ -8,11 +8,11 @@
 typedef enum
 {
   LX_EVENT_NONE,
-  LX_EVENT_STEPS,   /* a trainer runs `count` steps and requests each during the previous one */
+  LX_EVENT_STEPS,   /* a trainer runs `count` steps, each requested during the previous step */
   LX_EVENT_CALL,    /* a live call of the pool's model */
   LX_EVENT_SERVICE, /* a call of the service */
   LX_EVENT_VERSION, /* a new weight version is published */
-  LX_EVENT_CHANGE,  /* an operator changes the pool's live reserve */
+  LX_EVENT_CHANGE,  /* an operator changes the share of the pool that is kept for live calls */
   LX_EVENT_FAULT,   /* an LxFault is injected */
   LX_N_EVENTS
 } LxTraceEvent;
@@ -28,8 +28,8 @@
   LX_EXPECT_STALENESS,   /* no sample of the trainer is over `count` versions old at delivery */
   LX_EXPECT_MIXED,       /* at least `count` samples of the trainer mix weight versions */
   LX_EXPECT_NO_NEW_WORK, /* no new work is sent to the leaving endpoint after after_ms */
-  LX_EXPECT_IN_FORCE,    /* the revision is active on all running instances at by_ms */
-  LX_EXPECT_DRAINED,     /* the instance completes a drain no later than by_ms */
+  LX_EXPECT_IN_FORCE, /* the configuration revision is active on all running instances at by_ms */
+  LX_EXPECT_DRAINED,  /* the instance completes a drain no later than by_ms */
   LX_N_EXPECTS
 } LxTraceExpect;
 
--- a/packages/sim/include/lx-trainer.h
+++ b/packages/sim/include/lx-trainer.h
@@ -20,10 +20,10 @@
   bool is_step_open;
   LcVersion step_version;   /* newest weight version when the step was first requested */
   LbTime train_until;       /* end of the training on the previous step */
-  int64_t max_steps;        /* 0: no limit */
-  LbTime *step_finished_at; /* indexed by step */
+  int64_t max_steps;        /* number of steps after which the trainer stops; 0: no limit */
+  LbTime *step_finished_at; /* time when each step was finished, indexed by step */
   /* state of the pull in progress */
-  uint64_t pull_id; /* 0: no pull in progress */
+  uint64_t pull_id; /* id of the pull in progress; 0: none */
   uint64_t n_pulls;
   LcVersion pull_version; /* newest weight version when the pull was sent */
   LbTime pulled_at;
--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -92,8 +92,9 @@
 typedef struct
 {
   bool failed;
-  int64_t revision;   /* revision in the head row */
-  LcResourceSet *set; /* NULL: not newer than the active revision, or the read failed */
+  int64_t revision; /* revision in the head row */
+  LcResourceSet
+      *set; /* configuration read; NULL: not newer than the active one, or a failed read */
   LbTime requested_at;
 } HeadRead;
 
@@ -307,8 +308,8 @@
     }
   if (reply_lost)
     {
-      /* The change is committed, but this instance learns the new revision only by reading the head
-       * row. */
+      /* The change is committed, but this instance learns the new revision only by reading the
+       * store's head row, which holds the newest configuration. */
       lc_resource_set_free (next);
       return;
     }
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -314,7 +314,7 @@
  * piece and the end are never late, because an answer without an end marker is not reported as
  * complete. */
 static void
-duplicate_delay_or_unlabel_piece (LxInstance *instance, LxDelivery *delivery, LbTime *delay)
+apply_active_faults_to_piece (LxInstance *instance, LxDelivery *delivery, LbTime *delay)
 {
   LxWorld *world = instance->world;
   LbTime now = lx_world_now (world);
@@ -349,7 +349,7 @@
   copy = lb_memdup (delivery, sizeof *delivery);
   copy->request = stream->request;
   copy->attempt = stream->attempt;
-  duplicate_delay_or_unlabel_piece (instance, copy, &delay);
+  apply_active_faults_to_piece (instance, copy, &delay);
   lx_instance_post_message (instance, latency + delay, on_piece_or_end_arrived, copy, free);
 }
 
@@ -509,8 +509,8 @@
                      on_attempt_arrived_at_endpoint, NULL, transit, free);
 }
 
-/* If the error is a "not run" error, records it in the job: from now on no endpoint may start the
- * job. Reports a violation if an endpoint has already started the job. */
+/* If the error states that the request was not run, records this in the job, because from now on no
+ * endpoint may start the job. Reports a violation if an endpoint has already started the job. */
 static void
 record_not_run_error (LxInstance *instance, uint64_t job_number, LbErrorCode error)
 {
@@ -600,10 +600,10 @@
   return false;
 }
 
-/* Sets the prompt's length and block hashes if missing. The hashes depend only on the prompt, so
- * all samples of a group share the prompt blocks. */
+/* Sets the length and the block hashes of the prompt where the request has none. The hashes depend
+ * only on the prompt, so all samples of a group share the prompt blocks. */
 static void
-fill_prompt_blocks (LcRequestSpec *spec, const char *prompt)
+fill_prompt_length_and_hashes (LcRequestSpec *spec, const char *prompt)
 {
   if (spec->prompt_tokens == 0)
     spec->prompt_tokens = DEFAULT_PROMPT_TOKENS;
@@ -644,7 +644,7 @@
   LbError error = { 0 };
   LcRequestId id = action->spec.id;
 
-  fill_prompt_blocks (&action->spec, action->prompt);
+  fill_prompt_length_and_hashes (&action->spec, action->prompt);
   if (submit_request_to_dispatch (instance, &action->spec, add_sample_job (instance, action), NULL,
                                   &retry_after, &error))
     return;
@@ -665,7 +665,8 @@
   free_request (instance, request);
 }
 
-/* Ends a request and passes the text received for the request to LcRollouts. */
+/* Preempts the request of a sample: ends the request and passes the text received so far to
+ * LcRollouts. */
 static void
 preempt_sample_request (LxInstance *instance, LcRequestId id)
 {
@@ -681,7 +682,7 @@
   cancel_dispatch_request (instance, id);
 }
 
-/* The result of a ledger write, in transit to the instance. */
+/* The result of a write to the ledger row of a step, in transit from the store to the instance. */
 typedef struct
 {
   uint64_t write;
@@ -689,7 +690,7 @@
 } LedgerReply;
 
 static void
-on_ledger_reply (LxInstance *instance, void *argument)
+on_ledger_write_reply_arrived (LxInstance *instance, void *argument)
 {
   const LedgerReply *reply = argument;
 
@@ -714,7 +715,7 @@
 }
 
 static void
-write_step_ledger_row (LxInstance *instance, const LcRolloutAction *action)
+write_ledger_row_of_step (LxInstance *instance, const LcRolloutAction *action)
 {
   LedgerReply *reply = LB_NEW (LedgerReply);
   LxWriteOutcome outcome = draw_write_outcome (instance->world);
@@ -724,10 +725,11 @@
                                      action->session, outcome);
   lx_instance_post_message (instance,
                             outcome == LX_WRITE_APPLIED ? STORE_ROUND_TRIP_TIME : STORE_TIMEOUT,
-                            on_ledger_reply, reply, free);
+                            on_ledger_write_reply_arrived, reply, free);
 }
 
-/* A request to open a step, after the store has started a new session for the step. */
+/* A request to open a step, after the store has started a new session. Only the newest session may
+ * write the row of the step. */
 typedef struct
 {
   LcStepSpec spec;
@@ -830,7 +832,7 @@
       preempt_sample_request (instance, action->spec.id);
       break;
     case LC_ROLLOUT_WRITE_LEDGER:
-      write_step_ledger_row (instance, action);
+      write_ledger_row_of_step (instance, action);
       break;
     case LC_ROLLOUT_REPLY:
       lx_world_schedule (instance->world, instance->world->options.site->client_latency,
--- a/packages/sim/src/lx-registry.c
+++ b/packages/sim/src/lx-registry.c
@@ -66,8 +66,8 @@
 }
 
 /* Returns the newest revision that an instance has used for longer than MAX_ACTIVATION_TIME. The
- * commit time alone does not count: if the commit reply was lost, no instance knows the revision
- * until it reads the head row. */
+ * commit time alone does not count, because after a lost commit reply no instance knows the
+ * revision until it reads the store's head row, which holds the newest configuration. */
 static int64_t
 get_newest_revision_active_beyond_time_limit (const LxRegistry *registry, LbTime now)
 {
--- a/packages/sim/src/lx-soak.c
+++ b/packages/sim/src/lx-soak.c
@@ -11,7 +11,7 @@
 /* Outcome of a simulation run. */
 typedef struct
 {
-  LxViolation violation; /* the last LxViolation with a count above 0 */
+  LxViolation violation; /* kind that occurred; of several, the last in the order of LxViolation */
   uint64_t event;        /* number of the event that caused the first violation */
   uint64_t n_injections;
   char first_violation[256];
@@ -45,8 +45,9 @@
   options->hedge_after = 500 * LB_MSEC;
   options->fault_kinds = choose_fault_kinds (soak);
   options->mean_fault_interval = (1 + (LbTime)(soak->seed % 5)) * LB_SEC;
-  /* A single kind of fault hits the same targets more often. Without the longer interval, no owner
-   * of a step would run for as long as the longest sample takes, and no step would complete. */
+  /* Uses a longer interval if only one kind of fault is injected, because one kind hits the same
+   * targets more often. Otherwise no owner of a step would run for as long as the longest sample
+   * takes, and no step would complete. */
   if (options->fault_kinds != ALL_FAULT_KINDS)
     options->mean_fault_interval += 3 * LB_SEC;
   options->stop_at_violation = true;
--- a/packages/sim/src/lx-trainer.c
+++ b/packages/sim/src/lx-trainer.c
@@ -12,7 +12,8 @@
 #include <xxhash.h>
 
 #define PULL_WAIT_TIME (5 * LB_SEC)
-/* After this time without a reply, the trainer reopens the step and pulls again. */
+/* Time without a reply to a pull (a request for finished samples) after which the trainer reopens
+ * the step and pulls again. */
 #define PULL_TIMEOUT (8 * LB_SEC)
 #define REQUEST_RETRY_DELAY (500 * LB_MSEC)
 #define NO_SAMPLE_TIMEOUT (300 * LB_SEC)
@@ -28,7 +29,7 @@
 
 /* Hashes the numbers to a value from 0 inclusive to 1 exclusive. */
 static double
-hash_to_unit_interval (uint64_t seed, const int64_t *numbers, size_t n)
+hash_numbers_to_unit_interval (uint64_t seed, const int64_t *numbers, size_t n)
 {
   return (double)(XXH64 (numbers, n * sizeof (int64_t), seed) >> 11) / 9007199254740992.0;
 }
@@ -46,10 +47,10 @@
   double hard_group_share = 2 * STRAGGLER_SHARE * options->hard_share;
   double straggler_share_of_other_groups
       = STRAGGLER_SHARE * (1 - options->hard_share) / (1 - hard_group_share);
-  double spread = 2 * hash_to_unit_interval (options->seed, slot_key, 4);
+  double spread = 2 * hash_numbers_to_unit_interval (options->seed, slot_key, 4);
   int64_t length = (int64_t)((1 + spread) * (double)options->min_sample_tokens);
-  bool is_hard = hash_to_unit_interval (options->seed, group_key, 3) < hard_group_share;
-  bool is_straggler = hash_to_unit_interval (options->seed + 1, slot_key, 4)
+  bool is_hard = hash_numbers_to_unit_interval (options->seed, group_key, 3) < hard_group_share;
+  bool is_straggler = hash_numbers_to_unit_interval (options->seed + 1, slot_key, 4)
                       < (is_hard ? 0.5 : straggler_share_of_other_groups);
 
   return is_straggler ? 10 * length : length;
@@ -180,7 +181,7 @@
                             on_open_step_request_arrived, trainer, NULL);
 }
 
-/* A pull in transit to an instance, with its own copy of the cursor. */
+/* A pull in transit to an instance, with a copy of the trainer's cursor. */
 typedef struct
 {
   LcPull pull;
@@ -260,7 +261,8 @@
   trainer->last_sample_at = now;
 }
 
-/* Sends a request to open the step, or a pull once the training on the previous step has ended. */
+/* Requests to open the step or, if the step is open, sends a pull once the training on the previous
+ * step has ended. */
 static void
 send_open_step_or_pull_request (LxTrainer *trainer)
 {
@@ -285,7 +287,7 @@
 }
 
 static void
-reset_state_and_request_step (LxTrainer *trainer)
+reset_trainer_and_request_step (LxTrainer *trainer)
 {
   const LxOptions *options = &trainer->world->options;
 
@@ -304,7 +306,7 @@
 {
   trainer->max_steps = max_steps;
   trainer->train_until = lx_world_now (trainer->world);
-  reset_state_and_request_step (trainer);
+  reset_trainer_and_request_step (trainer);
 }
 
 LbTime
@@ -361,7 +363,7 @@
 }
 
 static void
-finish_step_and_request_next (LxTrainer *trainer)
+finish_step_and_request_next_step (LxTrainer *trainer)
 {
   LxWorld *world = trainer->world;
   const LxOptions *options = &world->options;
@@ -389,7 +391,7 @@
   trainer->train_until = lx_world_now (world) + options->train_time;
   if (trainer->step == trainer->max_steps)
     return;
-  reset_state_and_request_step (trainer);
+  reset_trainer_and_request_step (trainer);
 }
 
 static bool
@@ -517,7 +519,7 @@
   free (trainer->cursor);
   trainer->cursor = lb_strdup (chunk->cursor);
   if (chunk->remaining == 0)
-    finish_step_and_request_next (trainer);
+    finish_step_and_request_next_step (trainer);
   else
     send_open_step_or_pull_request (trainer);
 out:
