--- a/packages/core/src/dispatch/lc-dispatch.c
+++ b/packages/core/src/dispatch/lc-dispatch.c
@@ -197,7 +197,8 @@
 }
 
 /* Returns the latest start of the first attempt. A call without a deadline must start within the
- * default deadline, since a client waits for it; its stream may then run without limit. */
+ * default deadline, since a client waits for the call; the stream of such a call may run without
+ * limit once started. */
 static LbTime
 compute_start_deadline (const LcDispatch *dispatch, const LcRequestSpec *spec, LbTime now)
 {
--- a/packages/core/src/dispatch/lc-outcome.c
+++ b/packages/core/src/dispatch/lc-outcome.c
@@ -9,7 +9,7 @@
 #define MAX_CONSECUTIVE_LOST_ATTEMPTS 3
 #define MIN_RETRY_AFTER (100 * LB_MSEC)
 #define RETRY_AFTER_WITHOUT_ENDPOINT LB_SEC
-/* An attempt without a piece for this long may count as a failure (see is_black_holed). */
+/* An attempt without a piece for this long may count as a failure (see is_attempt_black_holed). */
 #define BLACK_HOLE_TIMEOUT LB_SEC
 /* BLACK_HOLE_TIMEOUT for samples, whose first piece normally arrives several times sooner. */
 #define SAMPLE_BLACK_HOLE_TIMEOUT (500 * LB_MSEC)
@@ -92,10 +92,10 @@
  * without a piece fails after a timeout if the endpoint has replied to nothing since the attempt
  * was sent. */
 static bool
-is_black_holed (LcDispatch *dispatch,
-                const LcRequest *request,
-                const LcAttempt *attempt,
-                LbTime now)
+is_attempt_black_holed (LcDispatch *dispatch,
+                        const LcRequest *request,
+                        const LcAttempt *attempt,
+                        LbTime now)
 {
   const LcEndpoint *endpoint = lc_endpoints_find (dispatch->endpoints, attempt->endpoint);
   LbTime limit = request->kind == LC_KIND_SAMPLE ? SAMPLE_BLACK_HOLE_TIMEOUT : BLACK_HOLE_TIMEOUT;
@@ -121,7 +121,7 @@
 {
   LcAction *action = lc_action_new (LC_ACTION_CANCEL, request->id, actions);
   AttemptResult result
-      = is_black_holed (dispatch, request, attempt, now) ? RESULT_FAILED : RESULT_CANCELLED;
+      = is_attempt_black_holed (dispatch, request, attempt, now) ? RESULT_FAILED : RESULT_CANCELLED;
 
   action->attempt = attempt->number;
   LB_COPY (action->endpoint, attempt->endpoint);
@@ -247,7 +247,7 @@
 
 /* Whether this end of an attempt proves that the endpoint did not run the request. */
 static bool
-proves_request_not_run (LcAttemptEnd end)
+does_attempt_end_prove_request_not_run (LcAttemptEnd end)
 {
   return end == LC_END_REFUSED || end == LC_END_REFUSED_LEAVING || end == LC_END_NOT_SENT;
 }
@@ -301,7 +301,7 @@
  * capacity. A refusal costs almost nothing, so a refused sample is retried at once; its number of
  * attempts stays bounded. */
 static bool
-is_retried_immediately (const LcRequest *request, LcAttemptEnd end)
+is_request_retried_immediately (const LcRequest *request, LcAttemptEnd end)
 {
   return end == LC_END_REFUSED_LEAVING
          || (end == LC_END_REFUSED && request->kind == LC_KIND_SAMPLE);
@@ -319,7 +319,7 @@
                        LbList *actions)
 {
   LbTime delay = lc_retry_delay (dispatch->random, request->n_retries);
-  bool immediately = is_retried_immediately (request, end);
+  bool immediately = is_request_retried_immediately (request, end);
   bool charged_to_budget = !immediately && !resumed;
 
   if (does_attempt_end_rule_out_retry (request, end) || !may_retry_request (request)
@@ -356,7 +356,7 @@
 /* Whether this end of an attempt shows that the endpoint replied, even with a failure, so that the
  * request did not crash the endpoint. */
 static bool
-proves_endpoint_alive (LcAttemptEnd end)
+does_attempt_end_prove_endpoint_alive (LcAttemptEnd end)
 {
   return end == LC_END_COMPLETE || end == LC_END_REJECTED || end == LC_END_FAILED;
 }
@@ -371,7 +371,7 @@
                          LbTime now,
                          LbList *actions)
 {
-  if (proves_endpoint_alive (end))
+  if (does_attempt_end_prove_endpoint_alive (end))
     lc_quarantine_record_answer (dispatch->quarantine, request->content, now);
   if (end == LC_END_COMPLETE || attempt->is_complete)
     {
@@ -379,7 +379,7 @@
       return;
     }
   request->n_not_sent += end == LC_END_NOT_SENT;
-  if (!proves_request_not_run (end))
+  if (!does_attempt_end_prove_request_not_run (end))
     {
       request->may_have_run = true;
       request->n_consecutive_lost
@@ -398,7 +398,7 @@
   /* Allows another hedge if this attempt never ran. Without this, when a hedge could not connect
    * while the first attempt hung at an unresponsive endpoint, the caller waited until its deadline
    * although other endpoints were idle. */
-  if (proves_request_not_run (end))
+  if (does_attempt_end_prove_request_not_run (end))
     request->hedged = false;
   lc_dispatch_reschedule_request_timer (dispatch, request);
 }
--- a/packages/core/src/dispatch/lc-placement.c
+++ b/packages/core/src/dispatch/lc-placement.c
@@ -81,7 +81,7 @@
  * leaving and would send it work seconds after it had to stop. A current report proves that the
  * endpoint was not leaving shortly before. */
 static LbTime
-oldest_current_load_report_time (const LcDispatch *dispatch, LbTime now)
+compute_oldest_current_load_report_time (const LcDispatch *dispatch, LbTime now)
 {
   LbTime max_age = dispatch->settings.max_report_age;
 
@@ -127,7 +127,7 @@
   LcRouteQuery query
       = lc_request_make_route_query (request, dispatch->settings.data_centre, avoid_tried);
 
-  query.reported_since = oldest_current_load_report_time (dispatch, now);
+  query.reported_since = compute_oldest_current_load_report_time (dispatch, now);
 
   LcRouteDecision decision
       = lc_router_choose_endpoint (dispatch->router, dispatch->endpoints, &query, now);
@@ -217,8 +217,8 @@
   lc_dispatch_fail_request (dispatch, request, error, until - now, now, actions);
 }
 
-/* Takes a request from the queue and sends it to the chosen endpoint, or fails it if it may not be
- * sent. */
+/* Takes a request from the queue and sends the request to the chosen endpoint, or fails the request
+ * if it must not be sent. */
 static void
 place_request (LcDispatch *dispatch,
                LcRequest *request,
--- a/packages/core/src/dispatch/lc-queue.c
+++ b/packages/core/src/dispatch/lc-queue.c
@@ -95,7 +95,7 @@
 }
 
 static double
-relative_backlog (const LcFlow *flow)
+compute_relative_backlog (const LcFlow *flow)
 {
   return (double)flow->drop_order.length / flow->share;
 }
@@ -103,8 +103,8 @@
 static bool
 has_larger_relative_backlog (const LcHeapNode *a, const LcHeapNode *b)
 {
-  return relative_backlog (LC_HEAP_ENTRY (a, LcFlow, backlog_node))
-         > relative_backlog (LC_HEAP_ENTRY (b, LcFlow, backlog_node));
+  return compute_relative_backlog (LC_HEAP_ENTRY (a, LcFlow, backlog_node))
+         > compute_relative_backlog (LC_HEAP_ENTRY (b, LcFlow, backlog_node));
 }
 
 static int
@@ -247,7 +247,7 @@
  * time, so that a flow earns no credit while idle. A later next_start stays, so that a flow can't
  * gain by letting its queue run empty. */
 static void
-flow_enter_backlog (LcFlow *flow, double share)
+add_flow_to_backlog (LcFlow *flow, double share)
 {
   Band *band = flow->band;
 
@@ -278,7 +278,7 @@
 
 /* Called when the last waiting request of the flow was removed; may free the flow. */
 static void
-flow_leave_backlog (LcFlow *flow)
+remove_flow_from_backlog (LcFlow *flow)
 {
   Band *band = flow->band;
 
@@ -332,7 +332,7 @@
   if (!flow)
     flow = flow_new (band, key);
   if (flow->drop_order.length == 0)
-    flow_enter_backlog (flow, key->share);
+    add_flow_to_backlog (flow, key->share);
   entry->flow = flow;
   entry->priority = key->priority;
   mark_request_ready (flow, entry);
@@ -361,7 +361,7 @@
   queue->length--;
   queue->kind_length[flow->kind]--;
   if (flow->drop_order.length == 0)
-    flow_leave_backlog (flow);
+    remove_flow_from_backlog (flow);
   else
     lc_heap_reposition_node (&flow->band->backlog, &flow->backlog_node);
 }
@@ -419,7 +419,7 @@
 }
 
 static double
-relative_backlog_with_new_request (const Band *band, const LcQueueKey *key)
+compute_relative_backlog_with_new_request (const Band *band, const LcQueueKey *key)
 {
   const LcFlow *flow = find_flow (band, key->caller);
   double share = key->share > 0 ? key->share : 1;
@@ -447,7 +447,8 @@
       LcFlow *flow = LC_HEAP_ENTRY (lc_heap_top (&band->backlog), LcFlow, backlog_node);
 
       if (band == own_band
-          && relative_backlog (flow) <= relative_backlog_with_new_request (band, key))
+          && compute_relative_backlog (flow)
+                 <= compute_relative_backlog_with_new_request (band, key))
         return NULL;
       return LC_HEAP_ENTRY (lc_heap_top (&flow->drop_order), LcQueueEntry, drop_node);
     }
--- a/packages/core/src/dispatch/lc-router-power-of-two.c
+++ b/packages/core/src/dispatch/lc-router-power-of-two.c
@@ -1,7 +1,7 @@
 #include "lc-policies.h"
 
 static double
-reported_load (const LcEndpoint *endpoint)
+estimate_current_load (const LcEndpoint *endpoint)
 {
   return (double)(endpoint->report.running + endpoint->report.waiting
                   + endpoint->sent_since_report);
@@ -22,8 +22,8 @@
   (void)endpoints;
   (void)query;
   (void)now;
-  items[a].score = reported_load (items[a].endpoint);
-  items[b].score = reported_load (items[b].endpoint);
+  items[a].score = estimate_current_load (items[a].endpoint);
+  items[b].score = estimate_current_load (items[b].endpoint);
   return items[b].score < items[a].score ? b : a;
 }
 
--- a/packages/core/src/dispatch/lc-timers.c
+++ b/packages/core/src/dispatch/lc-timers.c
@@ -7,7 +7,7 @@
 #define HEDGE_FIRST_PIECE_FACTOR 4.0
 
 static LbTime
-hedge_delay (const LcDispatch *dispatch, const LcRequest *request)
+compute_hedge_delay (const LcDispatch *dispatch, const LcRequest *request)
 {
   LbTime usual = (LbTime)(request->pool->first_piece_seconds[request->kind]
                           * HEDGE_FIRST_PIECE_FACTOR * (double)LB_SEC);
@@ -21,10 +21,10 @@
 
 /* Returns when a hedge of the request is due; LB_TIME_NEVER if the request may not be hedged. */
 static LbTime
-hedge_due_time (const LcDispatch *dispatch, const LcRequest *request)
+compute_hedge_due_time (const LcDispatch *dispatch, const LcRequest *request)
 {
   const LcAttempt *attempt = LB_LIST_FIRST (&request->attempts, LcAttempt, link);
-  LbTime after = hedge_delay (dispatch, request);
+  LbTime after = compute_hedge_delay (dispatch, request);
 
   if (after <= 0 || !request->repeatable || request->hedged || !attempt || attempt->has_piece
       || !lc_request_has_attempts_left (request))
@@ -42,7 +42,7 @@
     case LC_STATE_BACKOFF:
       return lb_time_earlier (request->retry_at, request->deadline);
     default:
-      return lb_time_earlier (request->deadline, hedge_due_time (dispatch, request));
+      return lb_time_earlier (request->deadline, compute_hedge_due_time (dispatch, request));
     }
 }
 
--- a/packages/core/src/endpoints/lc-concurrency.c
+++ b/packages/core/src/endpoints/lc-concurrency.c
@@ -33,7 +33,7 @@
 }
 
 static void
-decrease_limit (LcConcurrency *concurrency, double factor, LbTime now)
+decrease_concurrency_limit (LcConcurrency *concurrency, double factor, LbTime now)
 {
   if (concurrency->decreased_at != 0 && now - concurrency->decreased_at < MIN_DECREASE_INTERVAL)
     return;
@@ -61,7 +61,7 @@
   update_min_first_byte_seconds (concurrency, first_byte_seconds);
   if (first_byte_seconds > SLOW_FIRST_BYTE_FACTOR * concurrency->min_first_byte_seconds
                                + SLOW_FIRST_BYTE_EXTRA_SECONDS)
-    decrease_limit (concurrency, SLOW_DECREASE_FACTOR, now);
+    decrease_concurrency_limit (concurrency, SLOW_DECREASE_FACTOR, now);
   else if ((double)in_flight * 2 >= concurrency->limit)
     concurrency->limit = fmin (concurrency->max, concurrency->limit + 1 / concurrency->limit);
 }
@@ -69,5 +69,5 @@
 void
 lc_concurrency_request_failed (LcConcurrency *concurrency, LbTime now)
 {
-  decrease_limit (concurrency, FAILED_DECREASE_FACTOR, now);
+  decrease_concurrency_limit (concurrency, FAILED_DECREASE_FACTOR, now);
 }
--- a/packages/core/src/endpoints/lc-endpoints.c
+++ b/packages/core/src/endpoints/lc-endpoints.c
@@ -83,7 +83,7 @@
 /* Corrects invalid values: a negative load would attract all requests, and a time in the future
  * would make every later report look outdated. */
 static LcLoadReport
-sanitise_report (const LcLoadReport *report, LbTime now)
+sanitise_load_report (const LcLoadReport *report, LbTime now)
 {
   LcLoadReport sanitised = *report;
 
@@ -131,7 +131,7 @@
 
   if (!entry)
     return;
-  LcLoadReport sanitised = sanitise_report (report, now);
+  LcLoadReport sanitised = sanitise_load_report (report, now);
 
   if (!report->is_from_registry)
     entry->endpoint.last_reply_at = now;
--- a/packages/core/src/endpoints/lc-in-flight-history.c
+++ b/packages/core/src/endpoints/lc-in-flight-history.c
@@ -18,7 +18,7 @@
 }
 
 static const LcInFlightChange *
-get_change (const LcInFlightHistory *history, size_t i)
+get_in_flight_change (const LcInFlightHistory *history, size_t i)
 {
   return &history->changes[i % LC_IN_FLIGHT_HISTORY_LENGTH];
 }
@@ -33,9 +33,10 @@
   if (history->n_changes == 0)
     return 0;
   for (size_t i = history->n_changes; i-- > oldest;)
-    if (get_change (history, i)->at <= at)
-      return get_change (history, i)->in_flight;
-  return get_change (history, oldest)->in_flight + (get_change (history, oldest)->is_sent ? -1 : 1);
+    if (get_in_flight_change (history, i)->at <= at)
+      return get_in_flight_change (history, i)->in_flight;
+  return get_in_flight_change (history, oldest)->in_flight
+         + (get_in_flight_change (history, oldest)->is_sent ? -1 : 1);
 }
 
 int64_t
@@ -44,8 +45,8 @@
   int64_t n_sent = 0;
 
   for (size_t i = history->n_changes;
-       i-- > find_oldest_change_index (history) && get_change (history, i)->at > at;)
-    n_sent += get_change (history, i)->is_sent;
+       i-- > find_oldest_change_index (history) && get_in_flight_change (history, i)->at > at;)
+    n_sent += get_in_flight_change (history, i)->is_sent;
   return n_sent;
 }
 
@@ -55,7 +56,8 @@
   int64_t n_sent = 0;
 
   for (size_t i = history->n_changes;
-       i-- > find_oldest_change_index (history) && get_change (history, i)->at > at;)
-    n_sent += get_change (history, i)->is_sent && get_change (history, i)->is_live;
+       i-- > find_oldest_change_index (history) && get_in_flight_change (history, i)->at > at;)
+    n_sent
+        += get_in_flight_change (history, i)->is_sent && get_in_flight_change (history, i)->is_live;
   return n_sent;
 }
--- a/packages/core/src/endpoints/lc-leaving.c
+++ b/packages/core/src/endpoints/lc-leaving.c
@@ -30,8 +30,8 @@
 
 /* Called when the endpoint reports its incarnation. `marked` is a ring buffer of the last
  * LC_MAX_LEAVING_INCARNATIONS incarnations that are leaving, so that neither a late report of an
- * earlier process nor a report of its successor clears a mark. A mark that was set before any
- * incarnation was known applies to the first incarnation that is reported. */
+ * earlier process of the endpoint nor a report of a later process clears a mark. A mark that was
+ * set before any incarnation was known applies to the first incarnation that is reported. */
 void
 lc_leaving_set_current_incarnation (LcLeaving *leaving, const char *incarnation)
 {
--- a/packages/core/src/endpoints/lc-leaving.h
+++ b/packages/core/src/endpoints/lc-leaving.h
@@ -13,7 +13,7 @@
   uint64_t marked[LC_MAX_LEAVING_INCARNATIONS]; /* ring buffer of incarnations marked as leaving */
   size_t n_marked;            /* number of incarnations marked, including overwritten ones */
   bool is_marked_by_platform; /* the platform's list marks the endpoint as leaving */
-  uint64_t platform_marked_incarnation; /* current incarnation when the platform set its mark */
+  uint64_t platform_marked_incarnation; /* incarnation at the time of the platform's mark */
   /* The platform's mark may be meant for an earlier incarnation. The current incarnation counts as
    * leaving while the platform marks it, but is not added to `marked`, which would be final. */
   bool is_platform_mark_ambiguous;
--- a/packages/core/src/endpoints/lc-prefix-index.c
+++ b/packages/core/src/endpoints/lc-prefix-index.c
@@ -189,7 +189,7 @@
 }
 
 static double
-holder_confidence (const Holder *holder, const LcEndpointCache *cache, LbTime now)
+compute_holder_confidence (const Holder *holder, const LcEndpointCache *cache, LbTime now)
 {
   double age = (double)(now - holder->at) / LB_SEC;
 
@@ -222,7 +222,7 @@
           if (!cache || cache->epoch != holder->epoch)
             continue;
           shares[n++] = (LcCachedShare){ .slot = holder->slot,
-                                         .share = holder_confidence (holder, cache, now)
+                                         .share = compute_holder_confidence (holder, cache, now)
                                                   * (double)(i + 1) / (double)n_prefixes };
         }
     }
@@ -244,8 +244,8 @@
       const Holder *holder = prefix ? find_holder (prefix, cache) : NULL;
 
       if (holder && holder->epoch == cache->epoch)
-        best = fmax (best,
-                     holder_confidence (holder, cache, now) * (double)(i + 1) / (double)n_prefixes);
+        best = fmax (best, compute_holder_confidence (holder, cache, now) * (double)(i + 1)
+                               / (double)n_prefixes);
     }
   return best;
 }
--- a/packages/core/src/membership/lc-catalog.c
+++ b/packages/core/src/membership/lc-catalog.c
@@ -9,9 +9,9 @@
 #include <uthash.h>
 
 #define PUBLISHER_KEY "publisher"
-/* When the publisher stops, followers start to list the rows themselves at times spread over this
- * interval. Like PUBLISHER_TIMEOUT, TAKEOVER_DELAY_PER_RANK and MAX_SNAPSHOT_AGE_MS, the value is
- * for LC_CATALOG_LISTING_PERIOD and is scaled to the publisher's period. */
+/* When the publisher stops, the other instances start to list the rows themselves at times spread
+ * over this interval. Like PUBLISHER_TIMEOUT, TAKEOVER_DELAY_PER_RANK and MAX_SNAPSHOT_AGE_MS, the
+ * value is for LC_CATALOG_LISTING_PERIOD and is scaled to the publisher's period. */
 #define FALLBACK_SPREAD (300 * LB_MSEC)
 /* The publisher counts as failed when its row has not changed for 1.5 periods. Candidates take over
  * one after another, early enough that other instances need not list the rows meanwhile. */
--- a/packages/core/src/membership/lc-duty.c
+++ b/packages/core/src/membership/lc-duty.c
@@ -4,7 +4,7 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Minimum strength (capacity of a machine); also used for machines that report none. */
+/* Minimum strength (capacity of a machine); also used for machines that report no strength. */
 #define MIN_STRENGTH 1
 
 /* Returns a number proportional to processor share and link speed. Both limit the machine that
--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -12,10 +12,12 @@
  * lost, and the next one may take longer through another instance if the direct path to the store
  * has just failed. */
 #define MAX_MISSED_RENEWALS 3
-/* Longest time from a due renewal to the listing that shows it, if the store answers at once. */
+/* Longest time from the due time of a renewal to the listing that shows the renewal, if the store
+ * answers at once. */
 #define LISTING_DELAY (200 * LB_MSEC)
-/* Store round trips from a due renewal to the listing that shows it: one for the listing and two
- * for the renewal, since rows of one partition of the table are written one after the other. */
+/* Store round trips from the due time of a renewal to the listing that shows the renewal: one for
+ * the listing and two for the renewal, since rows of one partition of the table are written one
+ * after the other. */
 #define STORE_ROUND_TRIPS 3
 #define DEFAULT_RENEWAL_PERIOD LB_SEC
 /* Upper limit of the renewal period when judging whether a row seen for the first time was renewed
@@ -194,9 +196,9 @@
 }
 
 /* A row stays in the store after its instance is gone. So a member whose row is seen for the first
- * time gets no callers until it is confirmed, by the age of its row or by its next renewal. An
- * unconfirmed member counts as alive: after a store outage all rows are old, and batches would be
- * taken from live owners. */
+ * time gets no callers until the age of the row or the next renewal confirms that the member is
+ * alive. An unconfirmed member still counts as alive, because after a store outage all rows are
+ * old, and batches would otherwise be taken from live owners. */
 void
 lc_fleet_add_row (LcFleet *fleet, const LcFleetRow *row, int64_t version, LbTime now)
 {
--- a/packages/core/src/membership/lc-membership-heartbeat.c
+++ b/packages/core/src/membership/lc-membership-heartbeat.c
@@ -87,9 +87,9 @@
 }
 
 /* Heartbeats are sent only on connections to the members that this instance watches. Connections
- * that are opened to send single frames may exist between all pairs of instances: heartbeats on
- * them would cost 131 KB/s at 350 instances. They get a heartbeat only after an unanswered frame or
- * a long silence. */
+ * that are opened to send single frames may exist between all pairs of instances, and heartbeats on
+ * all of these would cost 131 KB/s at 350 instances. Such a connection gets a heartbeat only after
+ * an unanswered frame or a long silence. */
 static void
 start_or_stop_watching_link (const LcMembership *membership, LcPeerLink *link, LbTime now)
 {
--- a/packages/core/src/membership/lc-membership-private.h
+++ b/packages/core/src/membership/lc-membership-private.h
@@ -49,7 +49,7 @@
   LbTime started_at;
   LbTime next_ping_at;
   LbTime unneeded_since;   /* when the connection became unneeded; 0: it is needed */
-  LbTime unanswered_since; /* when the first frame was sent after the last arrival; 0: none since */
+  LbTime unanswered_since; /* when the first frame since the last arrival was sent; 0: none */
   LcDetector detector;
   uint64_t peer_digest;
   LbTime digest_differs_since; /* when the digests of both ends began to differ; 0: equal */
--- a/packages/core/src/membership/lc-membership-updates.c
+++ b/packages/core/src/membership/lc-membership-updates.c
@@ -132,9 +132,9 @@
   membership->view_changed = true;
 }
 
-/* Handles an update about this instance. If peers consider it suspect or dead, for example after a
- * pause, it refutes by raising its version above the one they know; only the instance itself can do
- * that. */
+/* Handles an update about this instance. If peers consider this instance suspect or dead, for
+ * example after a pause, it refutes by raising its version above the one that the peers know; no
+ * other instance can do so. */
 static void
 apply_update_about_self (LcMembership *membership, const LcInstance *update, LbTime now)
 {
@@ -249,7 +249,7 @@
 }
 
 /* Broadcasts pending updates. If all of them came from one connection, they are not sent back on
- * it. */
+ * that connection. */
 void
 lc_membership_flush_updates (LcMembership *membership, LbTime now, LbList *actions)
 {
--- a/packages/sim/include/lx-audit.h
+++ b/packages/sim/include/lx-audit.h
@@ -13,8 +13,7 @@
   LX_VIOLATION_LOST,        /* a step was reported complete although samples are missing */
   LX_VIOLATION_DOUBLED,     /* a trainer received the same sample twice */
   LX_VIOLATION_STALE,       /* weights of a delivered sample were too old by the engines' record */
-  LX_VIOLATION_MISLABELLED, /* a sample's reported weight versions differ from the engines' record
-                             */
+  LX_VIOLATION_MISLABELLED, /* weight versions of a sample are wrong by the engines' record */
   LX_VIOLATION_NOT_WHOLE,   /* a complete answer has missing, duplicate or surplus tokens */
   LX_VIOLATION_RAN_AFTER_NOT_RUN, /* an endpoint started a request reported as "not run" */
   LX_VIOLATION_RAN_TWICE,         /* a non-repeatable request was started twice */
