--- a/packages/core/src/endpoints/lc-entry.c
+++ b/packages/core/src/endpoints/lc-entry.c
@@ -8,7 +8,7 @@
  * distributed by weight, and a change of one instance moves only the callers that this instance
  * loses or gains. */
 static double
-rendezvous_score (const LcMemberView *view, const char *caller)
+compute_rendezvous_score (const LcMemberView *view, const char *caller)
 {
   const LcInstance *instance = &view->instance;
   uint64_t hash
@@ -28,8 +28,8 @@
   return false;
 }
 
-/* A draining instance would reject the caller, and an instance that is suspected to have failed
- * might not answer. */
+/* Whether callers may be sent to the instance. A draining instance would reject the caller, and an
+ * instance that is suspected to have failed might not answer. */
 static bool
 is_eligible_instance (const LcMemberView *view)
 {
@@ -53,7 +53,7 @@
       if (in_same_data_centre != same_data_centre || !is_eligible_instance (&views[i])
           || is_instance_chosen (choice, i))
         continue;
-      double candidate_score = rendezvous_score (&views[i], caller);
+      double candidate_score = compute_rendezvous_score (&views[i], caller);
       if (candidate_score <= best)
         continue;
       best = candidate_score;
@@ -63,9 +63,8 @@
     choice->chosen[choice->n_chosen++] = chosen;
 }
 
-/* Chooses first an instance in the caller's data centre, then one in another data centre, so that
- * the second address works when the caller's data centre fails, then another one in the caller's
- * data centre. */
+/* Chooses the first and third instance in the caller's data centre and the second in another data
+ * centre, so that the second address works when the caller's data centre fails. */
 void
 lc_entry_choose_instances (LcEntryChoice *choice,
                            const LcMemberView *views,
--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -237,7 +237,7 @@
 }
 
 static void
-set_member_alive (LcFleet *fleet, LcFleetMember *member, bool alive, LbTime now)
+set_member_liveness (LcFleet *fleet, LcFleetMember *member, bool alive, LbTime now)
 {
   if (alive == member->alive)
     return;
@@ -276,11 +276,11 @@
       bool fresh = is_self || silence < member->row.period + fleet->delay_allowance;
       fleet->changed |= fresh != member->fresh;
       member->fresh = fresh;
-      set_member_alive (fleet, member,
-                        is_self
-                            || silence < member->row.period * MAX_MISSED_RENEWALS
-                                             + fleet->delay_allowance,
-                        now);
+      set_member_liveness (fleet, member,
+                           is_self
+                               || silence < member->row.period * MAX_MISSED_RENEWALS
+                                                + fleet->delay_allowance,
+                           now);
       member->is_new = false;
     }
   return fleet->changed;
--- a/packages/core/src/quarantine/lc-quarantine.c
+++ b/packages/core/src/quarantine/lc-quarantine.c
@@ -161,7 +161,7 @@
 }
 
 static void
-count_crash (Suspect *suspect, const LcCrash *crash)
+count_crash_of_suspect (Suspect *suspect, const LcCrash *crash)
 {
   if (suspect->last_counted == crash)
     return;
@@ -179,7 +179,7 @@
     const LcCrashReport *report = &entry->report;
     for (size_t i = 0; i < report->n_fingerprints; i++)
       if (!is_cleared_of_crash (quarantine, report->fingerprints[i], crash->crashed_at))
-        count_crash (find_or_add_suspect (quarantine, report->fingerprints[i]), crash);
+        count_crash_of_suspect (find_or_add_suspect (quarantine, report->fingerprints[i]), crash);
   }
 }
 
--- a/packages/sim/src/lx-instance-config.c
+++ b/packages/sim/src/lx-instance-config.c
@@ -92,9 +92,8 @@
 typedef struct
 {
   bool failed;
-  int64_t revision; /* revision in the head row */
-  LcResourceSet
-      *set; /* configuration read; NULL: not newer than the active one, or a failed read */
+  int64_t revision;   /* revision in the head row */
+  LcResourceSet *set; /* set that was read; NULL: not newer than the active one, or read failed */
   LbTime requested_at;
 } HeadRead;
 
--- a/packages/sim/src/lx-instance.c
+++ b/packages/sim/src/lx-instance.c
@@ -512,7 +512,7 @@
 /* If the error states that the request was not run, records this in the job, because from now on no
  * endpoint may start the job. Reports a violation if an endpoint has already started the job. */
 static void
-record_not_run_error (LxInstance *instance, uint64_t job_number, LbErrorCode error)
+record_not_run_error_of_job (LxInstance *instance, uint64_t job_number, LbErrorCode error)
 {
   LxWorld *world = instance->world;
   LxJob *job = lx_audit_get_job (&world->audit, job_number);
@@ -537,7 +537,7 @@
   lx_world_record_decision (instance->world, "%s finishes request %" PRIu64 ": %s", instance->name,
                             action->request, lb_error_name (action->error));
   close_open_attempts (instance, request);
-  record_not_run_error (instance, request->job, action->error);
+  record_not_run_error_of_job (instance, request->job, action->error);
   if (request->call)
     {
       lx_callers_schedule_result_arrival (&instance->world->callers, request->call, action->error);
@@ -595,7 +595,7 @@
   if (lc_dispatch_submit (instance->dispatch, spec, get_simulation_time (instance),
                           &instance->dispatch_actions, retry_after, error))
     return true;
-  record_not_run_error (instance, job, error->code);
+  record_not_run_error_of_job (instance, job, error->code);
   free_request (instance, request);
   return false;
 }
