--- a/packages/core/src/dispatch/lc-router-finish-time.c
+++ b/packages/core/src/dispatch/lc-router-finish-time.c
@@ -33,8 +33,8 @@
 #define MIN_SILENCE_SECONDS 2.0
 /* Relative difference up to which two scores count as equal. */
 #define SCORE_TOLERANCE 0.002
-/* Weight that draw_candidate gives an endpoint whose load cost is above the fill level, in requests
- * like the weights of other endpoints. */
+/* Minimum weight of a candidate in draw_candidate, as a number of requests; used if the load cost
+ * of the endpoint is above the fill level. */
 #define MIN_DRAW_WEIGHT 0.01
 
 /* Inputs of a routing decision that are the same for all candidates. */
