--- a/packages/core/src/dispatch/lc-placement.c
+++ b/packages/core/src/dispatch/lc-placement.c
@@ -52,9 +52,9 @@
 }
 
 /* Whether a request may wait for a pool whose circuit breakers admit nothing before available_at.
- * Calls may wait only briefly: they would pile up and reach the first recovered endpoint all at
- * once, so their callers get a retry hint instead. Samples may wait, since no client waits for
- * them. */
+ * Calls may wait only briefly, because they would otherwise pile up and reach the first recovered
+ * endpoint all at once; their callers get a retry hint instead. Samples may wait, since no client
+ * waits for them. */
 bool
 lc_dispatch_may_wait_for_pool (LcRequestKind kind,
                                LbTime available_at,
@@ -81,7 +81,7 @@
  * leaving and would send it work seconds after it had to stop. A current report proves that the
  * endpoint was not leaving shortly before. */
 static LbTime
-oldest_current_load_report_time (const LcDispatch *dispatch, LbTime now)
+compute_oldest_current_load_report_time (const LcDispatch *dispatch, LbTime now)
 {
   LbTime max_age = dispatch->settings.max_report_age;
 
@@ -127,7 +127,7 @@
   LcRouteQuery query
       = lc_request_make_route_query (request, dispatch->settings.data_centre, avoid_tried);
 
-  query.reported_since = oldest_current_load_report_time (dispatch, now);
+  query.reported_since = compute_oldest_current_load_report_time (dispatch, now);
 
   LcRouteDecision decision
       = lc_router_choose_endpoint (dispatch->router, dispatch->endpoints, &query, now);
@@ -217,8 +217,8 @@
   lc_dispatch_fail_request (dispatch, request, error, until - now, now, actions);
 }
 
-/* Takes a request from the queue and sends it to the chosen endpoint, or fails it if it may not be
- * sent. */
+/* Takes a request from the queue and sends the request to the chosen endpoint, or fails the request
+ * if it must not be sent. */
 static void
 place_request (LcDispatch *dispatch,
                LcRequest *request,
@@ -314,9 +314,10 @@
       }
 }
 
-/* Whether the retry budgets allow a hedge. Hedges of samples are free: each sample uses one idle
- * slot once, until either engine starts. If they were charged, the first three of many samples that
- * hang at an unresponsive engine would exhaust the budget. */
+/* Whether the retry budgets allow a hedge. Hedges of samples are not charged, because a sample is
+ * hedged once, and the hedge uses one idle slot until either engine starts. If these hedges were
+ * charged, the first three of many samples that hang at an unresponsive engine would exhaust the
+ * budget. */
 static bool
 is_hedge_allowed (LcDispatch *dispatch, const LcRequest *request, const LcEndpoint *endpoint)
 {
@@ -347,8 +348,8 @@
 }
 
 /* Sends a second attempt of a repeatable request that has not received a piece. Postpones the hedge
- * of a sample if its timer is late: this instance was paused, and the first pieces of hundreds of
- * samples may be waiting unread. */
+ * of a sample if the timer expires late, because this instance was then paused, and the first
+ * pieces of hundreds of samples may be waiting unread. */
 void
 lc_dispatch_try_hedge (LcDispatch *dispatch, LcRequest *request, LbTime now, LbList *actions)
 {
--- a/packages/core/src/dispatch/lc-queue.c
+++ b/packages/core/src/dispatch/lc-queue.c
@@ -39,8 +39,8 @@
   LcHeapNode backlog_node;
   LcHeapNode idle_node;
   Band *band;
-  LcHeap ready;      /* requests that are not deferred, next to send on top */
-  LcHeap drop_order; /* all requests, first to drop on top */
+  LcHeap ready;      /* heap of requests that are not deferred; the next to send is on top */
+  LcHeap drop_order; /* heap of all requests; the first to drop is on top */
   double share;
   double next_start; /* virtual start time of the flow's next request */
   LcRequestKind kind;
@@ -95,7 +95,7 @@
 }
 
 static double
-relative_backlog (const LcFlow *flow)
+compute_relative_backlog (const LcFlow *flow)
 {
   return (double)flow->drop_order.length / flow->share;
 }
@@ -103,8 +103,8 @@
 static bool
 has_larger_relative_backlog (const LcHeapNode *a, const LcHeapNode *b)
 {
-  return relative_backlog (LC_HEAP_ENTRY (a, LcFlow, backlog_node))
-         > relative_backlog (LC_HEAP_ENTRY (b, LcFlow, backlog_node));
+  return compute_relative_backlog (LC_HEAP_ENTRY (a, LcFlow, backlog_node))
+         > compute_relative_backlog (LC_HEAP_ENTRY (b, LcFlow, backlog_node));
 }
 
 static int
@@ -120,7 +120,7 @@
 /* Returns the rank of the band for requests with this key. All samples of organisations with equal
  * priority share one band, so that no trainer can overtake another by raising its own priority. */
 static BandRank
-band_rank_of (const LcQueueKey *key)
+compute_band_rank (const LcQueueKey *key)
 {
   static const int kinds[] = { [LC_KIND_LIVE] = 0, [LC_KIND_SERVICE] = 1, [LC_KIND_SAMPLE] = 2 };
 
@@ -247,7 +247,7 @@
  * time, so that a flow earns no credit while idle. A later next_start stays, so that a flow can't
  * gain by letting its queue run empty. */
 static void
-flow_enter_backlog (LcFlow *flow, double share)
+add_flow_to_backlog (LcFlow *flow, double share)
 {
   Band *band = flow->band;
 
@@ -278,7 +278,7 @@
 
 /* Called when the last waiting request of the flow was removed; may free the flow. */
 static void
-flow_leave_backlog (LcFlow *flow)
+remove_flow_from_backlog (LcFlow *flow)
 {
   Band *band = flow->band;
 
@@ -307,7 +307,7 @@
 static Band *
 find_or_add_band (LcQueue *queue, const LcQueueKey *key)
 {
-  BandRank rank = band_rank_of (key);
+  BandRank rank = compute_band_rank (key);
   size_t index = find_band_index (queue, &rank);
   Band *band = get_band_if_rank_equals (queue, index, &rank);
 
@@ -332,7 +332,7 @@
   if (!flow)
     flow = flow_new (band, key);
   if (flow->drop_order.length == 0)
-    flow_enter_backlog (flow, key->share);
+    add_flow_to_backlog (flow, key->share);
   entry->flow = flow;
   entry->priority = key->priority;
   mark_request_ready (flow, entry);
@@ -361,7 +361,7 @@
   queue->length--;
   queue->kind_length[flow->kind]--;
   if (flow->drop_order.length == 0)
-    flow_leave_backlog (flow);
+    remove_flow_from_backlog (flow);
   else
     lc_heap_reposition_node (&flow->band->backlog, &flow->backlog_node);
 }
@@ -419,7 +419,7 @@
 }
 
 static double
-relative_backlog_with_new_request (const Band *band, const LcQueueKey *key)
+compute_relative_backlog_with_new_request (const Band *band, const LcQueueKey *key)
 {
   const LcFlow *flow = find_flow (band, key->caller);
   double share = key->share > 0 ? key->share : 1;
@@ -433,7 +433,7 @@
 LcQueueEntry *
 lc_queue_find_request_to_drop (const LcQueue *queue, const LcQueueKey *key)
 {
-  BandRank rank = band_rank_of (key);
+  BandRank rank = compute_band_rank (key);
   size_t own_index = find_band_index (queue, &rank);
   const Band *own_band = get_band_if_rank_equals (queue, own_index, &rank);
 
@@ -447,7 +447,8 @@
       LcFlow *flow = LC_HEAP_ENTRY (lc_heap_top (&band->backlog), LcFlow, backlog_node);
 
       if (band == own_band
-          && relative_backlog (flow) <= relative_backlog_with_new_request (band, key))
+          && compute_relative_backlog (flow)
+                 <= compute_relative_backlog_with_new_request (band, key))
         return NULL;
       return LC_HEAP_ENTRY (lc_heap_top (&flow->drop_order), LcQueueEntry, drop_node);
     }
@@ -473,7 +474,7 @@
 double
 lc_queue_estimate_requests_ahead (const LcQueue *queue, const LcQueueKey *key)
 {
-  BandRank rank = band_rank_of (key);
+  BandRank rank = compute_band_rank (key);
   size_t own_index = find_band_index (queue, &rank);
   const Band *band = get_band_if_rank_equals (queue, own_index, &rank);
   double share = key->share > 0 ? key->share : 1;
--- a/packages/core/src/endpoints/lc-endpoints.c
+++ b/packages/core/src/endpoints/lc-endpoints.c
@@ -83,7 +83,7 @@
 /* Corrects invalid values: a negative load would attract all requests, and a time in the future
  * would make every later report look outdated. */
 static LcLoadReport
-sanitise_report (const LcLoadReport *report, LbTime now)
+sanitise_load_report (const LcLoadReport *report, LbTime now)
 {
   LcLoadReport sanitised = *report;
 
@@ -131,7 +131,7 @@
 
   if (!entry)
     return;
-  LcLoadReport sanitised = sanitise_report (report, now);
+  LcLoadReport sanitised = sanitise_load_report (report, now);
 
   if (!report->is_from_registry)
     entry->endpoint.last_reply_at = now;
@@ -142,9 +142,9 @@
   refresh_state_and_log_leaving (entry, LC_LEAVING_ENDPOINT, now);
 }
 
-/* The platform's list names no incarnation: pass "", and call
- * lc_endpoints_clear_platform_leaving_mark when the list no longer marks the endpoint. Peers always
- * name the incarnation. */
+/* For a mark from the platform's list of endpoints, which names no incarnation, pass "" as
+ * incarnation, and call lc_endpoints_clear_platform_leaving_mark when the list no longer marks the
+ * endpoint. Peers always name the incarnation. */
 bool
 lc_endpoints_mark_leaving (LcEndpoints *endpoints,
                            const char *name,
--- a/packages/core/src/membership/lc-fleet.c
+++ b/packages/core/src/membership/lc-fleet.c
@@ -12,10 +12,12 @@
  * lost, and the next one may take longer through another instance if the direct path to the store
  * has just failed. */
 #define MAX_MISSED_RENEWALS 3
-/* Longest time from a due renewal to the listing that shows it, if the store answers at once. */
+/* Longest time from the due time of a renewal to the listing that shows the renewal, if the store
+ * answers at once. */
 #define LISTING_DELAY (200 * LB_MSEC)
-/* Store round trips from a due renewal to the listing that shows it: one for the listing and two
- * for the renewal, since rows of one partition of the table are written one after the other. */
+/* Store round trips from the due time of a renewal to the listing that shows the renewal: one for
+ * the listing and two for the renewal, since rows of one partition of the table are written one
+ * after the other. */
 #define STORE_ROUND_TRIPS 3
 #define DEFAULT_RENEWAL_PERIOD LB_SEC
 /* Upper limit of the renewal period when judging whether a row seen for the first time was renewed
@@ -173,7 +175,7 @@
 }
 
 static bool
-have_same_state (const LcFleetRow *a, const LcFleetRow *b)
+do_rows_have_same_state (const LcFleetRow *a, const LcFleetRow *b)
 {
   return strcmp (a->incarnation, b->incarnation) == 0 && a->ready == b->ready
          && a->draining == b->draining && a->cut == b->cut && a->clock_lead_ms == b->clock_lead_ms
@@ -194,9 +196,9 @@
 }
 
 /* A row stays in the store after its instance is gone. So a member whose row is seen for the first
- * time gets no callers until it is confirmed, by the age of its row or by its next renewal. An
- * unconfirmed member counts as alive: after a store outage all rows are old, and batches would be
- * taken from live owners. */
+ * time gets no callers until the age of the row or the next renewal confirms that the member is
+ * alive. An unconfirmed member still counts as alive, because after a store outage all rows are
+ * old, and batches would otherwise be taken from live owners. */
 void
 lc_fleet_add_row (LcFleet *fleet, const LcFleetRow *row, int64_t version, LbTime now)
 {
@@ -216,7 +218,7 @@
   member->is_in_list = true;
   if (version <= member->version)
     return;
-  fleet->changed |= !have_same_state (&member->row, row) || !member->confirmed;
+  fleet->changed |= !do_rows_have_same_state (&member->row, row) || !member->confirmed;
   member->confirmed = true;
   member->row = *row;
   member->version = version;
@@ -235,7 +237,7 @@
 }
 
 static void
-set_member_alive (LcFleet *fleet, LcFleetMember *member, bool alive, LbTime now)
+set_member_liveness (LcFleet *fleet, LcFleetMember *member, bool alive, LbTime now)
 {
   if (alive == member->alive)
     return;
@@ -247,8 +249,8 @@
             LB_INT ("silent_us", now - member->version_seen_at));
 }
 
-/* Logs one line for all new instances: otherwise each of 300 instances would log 300 lines when a
- * site starts. */
+/* Logs one line for all new instances, because otherwise each of 300 instances would log 300 lines
+ * when a site starts. */
 static void
 log_new_members (const LcFleet *fleet)
 {
@@ -274,19 +276,19 @@
       bool fresh = is_self || silence < member->row.period + fleet->delay_allowance;
       fleet->changed |= fresh != member->fresh;
       member->fresh = fresh;
-      set_member_alive (fleet, member,
-                        is_self
-                            || silence < member->row.period * MAX_MISSED_RENEWALS
-                                             + fleet->delay_allowance,
-                        now);
+      set_member_liveness (fleet, member,
+                           is_self
+                               || silence < member->row.period * MAX_MISSED_RENEWALS
+                                                + fleet->delay_allowance,
+                           now);
       member->is_new = false;
     }
   return fleet->changed;
 }
 
-/* Whether the row on duty replaces the general row of an instance. Within one incarnation it does,
- * since it is renewed more often and shows a death sooner. If the incarnations differ, the newer
- * row is used. */
+/* Whether the row that an instance has in the list of instances on duty replaces its row in the
+ * list of all instances. Within one incarnation the row on duty is used, since that row is renewed
+ * more often and shows a death sooner. If the incarnations differ, the newer row is used. */
 static bool
 is_duty_row_preferred (const LcFleetMember *on_duty, const LcFleetMember *other)
 {
