--- a/packages/core/tests/fake-engines.h
+++ b/packages/core/tests/fake-engines.h
@@ -18,10 +18,10 @@
   LcVersion version; /* weight version that is served; 0: none */
   LcVersion loading; /* weight version that is being loaded; 0: none */
   LcVersion failed;  /* weight version whose load failed last; 0: none */
-  LbTime loaded_at;  /* end of the latest load */
+  LbTime loaded_at;  /* when the latest load of weights ends */
   LbTime next_report;
   int incarnation;
-  int fail_loads; /* number of next loads that fail */
+  int fail_loads; /* number of the coming weight loads that fail */
   bool dead;
   bool ignores_orders; /* accepts load orders without executing them */
 } FakeEngine;
--- a/packages/core/tests/rollouts-fixture.h
+++ b/packages/core/tests/rollouts-fixture.h
@@ -11,8 +11,9 @@
 
 #define OWNER_MAX_REQUESTS 512
 
-/* A step owner under test. The fixture replaces the dispatcher, the trainer and the store: it
- * records requests and replies, and stores ledger writes unless a fault is set. */
+/* The LcRollouts under test, as in the instance that owns a trainer's step. The fixture replaces
+ * the dispatcher, the trainer and the store: it records requests and replies, and stores writes of
+ * the ledger row (the samples that were delivered) unless a fault is set. */
 typedef struct
 {
   LcRollouts *rollouts;
@@ -25,12 +26,12 @@
   LcRequestId last_cancelled;
   LcRequestId last_preempted;
   size_t n_cancelled;
-  LbErrorCode ledger_error;    /* error of the next ledger writes; LB_OK: they succeed */
+  LbErrorCode ledger_error;    /* error that the next ledger writes return; LB_OK: none */
   bool ledger_is_unresponsive; /* true: ledger writes get no result */
   char *ledger_row;
   int n_ledger_writes;
   uint64_t last_write_id;
-  LcReadySample *handed_over; /* completed samples that a previous owner hands over */
+  LcReadySample *handed_over; /* completed samples that the previous owner of the step passed on */
   size_t n_handed_over;
   size_t n_replies;    /* number of replies to pulls */
   int64_t n_delivered; /* number of samples in all replies */
--- a/packages/core/tests/test-admission.c
+++ b/packages/core/tests/test-admission.c
@@ -84,8 +84,9 @@
   fixture_clear (&f);
 }
 
-/* Two steps of one trainer wait for the same engine and share a flow. When the steps took turns, a
- * long sample of one step started after short samples of the other that had seconds to spare. */
+/* Two steps of one trainer wait for the same engine, and their samples are queued together as one
+ * flow. When the steps took turns, a long sample of one step started after short samples of the
+ * other step that had seconds to spare. */
 Test (admission, earliest_latest_start_is_sent_first_within_a_flow)
 {
   static const LbTime latest[] = { 30 * LB_SEC, 10 * LB_SEC, 20 * LB_SEC };
@@ -300,7 +301,8 @@
   fixture_clear (&f);
 }
 
-/* Samples must leave the slots reserved for live calls free, so that a live call never waits. */
+/* Samples must leave free the slots that are reserved for live calls, so that a live call never
+ * waits behind samples. */
 Test (admission, samples_leave_the_live_reserve_free)
 {
   Fixture f;
--- a/packages/core/tests/test-batch-cost.c
+++ b/packages/core/tests/test-batch-cost.c
@@ -20,16 +20,17 @@
   return lc_batch_cost_full_batch_slowdown (&cost);
 }
 
-/* With an estimated slowdown three times too large, the effect of load is overrated: requests are
- * routed away from the engine that has their prompt cached to an engine with hardly less load,
- * which repeats the prefill. */
+/* If the estimated slowdown of a full engine is three times too large, the effect of load is
+ * overrated: requests are routed away from the engine that has their prompt cached to an engine
+ * with hardly less load, which repeats the prefill. */
 Test (batch_cost, estimated_slowdown_is_close_to_the_actual_slowdown)
 {
   cr_assert_float_eq (estimate_batch_slowdown_from_noisy_reports (0.33, 0.1, 0.9), 0.33, 0.08);
   cr_assert_float_eq (estimate_batch_slowdown_from_noisy_reports (2.0, 0.1, 0.9), 2.0, 0.3);
 }
 
-/* All engines of a pool may be equally full for hours: noise must not be taken for a slope. */
+/* If all engines of a pool are equally full for hours, their reports do not show how load slows an
+ * engine down. Differences that are only noise must not count as an effect of load. */
 Test (batch_cost, slowdown_stays_near_the_prior_when_all_batches_are_equally_full)
 {
   cr_assert_float_eq (estimate_batch_slowdown_from_noisy_reports (0.33, 0.5, 0.51), 1.0, 0.5);
--- a/packages/core/tests/test-batch-head.c
+++ b/packages/core/tests/test-batch-head.c
@@ -37,7 +37,8 @@
     }
 }
 
-/* A new batch must run on its preferred instance; after a change of its owner, on the new owner. */
+/* A batch must run on its preferred instance until the batch changes its owner, and on the new
+ * owner afterwards. */
 Test (batch_head, batch_is_assigned_to_its_preferred_instance_until_the_owner_changes)
 {
   LcBatchHead head = { .epoch = 1, .owner = "a", .preferred_instance = "b" };
--- a/packages/core/tests/test-batch-keep.c
+++ b/packages/core/tests/test-batch-keep.c
@@ -238,8 +238,8 @@
   owner_clear (&owner);
 }
 
-/* After a failed checkpoint, the next one must include its events. Otherwise the saved text has a
- * gap. */
+/* The checkpoint after a failed one must include the events of the failed one. Otherwise the saved
+ * text has a gap. */
 Test (batch_keep, next_checkpoint_includes_the_events_of_a_failed_one)
 {
   Owner owner;
@@ -327,8 +327,9 @@
 }
 
 /* The owner of a step of 78 long texts is killed at any moment. At twelve events of 400 bytes a
- * second, the whole texts exceed one write of 400 KiB after a few seconds. If whole texts are
- * saved, those of the last items never fit in, restart after a takeover and make the step late. */
+ * second, the whole texts exceed one write of 400 KiB after a few seconds. If each checkpoint saved
+ * whole texts, the texts of the last items would never fit into the write, would restart from the
+ * beginning after a takeover, and would make the step late. */
 Test (batch_keep, takeover_loses_at_most_half_a_second_of_any_long_text)
 {
   enum
--- a/packages/core/tests/test-batch.c
+++ b/packages/core/tests/test-batch.c
@@ -21,7 +21,7 @@
   LcRequestId scoring[MAX_ITEMS];
   int n_cancelled;
   int n_preempted;
-  int64_t first_position; /* position of the first result in the last write */
+  int64_t first_position; /* position in the batch's results of the last write's first result */
   char written_items[MAX_ITEMS][16];
   bool completed[MAX_ITEMS];
   size_t n_written; /* number of results in the last write */
@@ -330,9 +330,9 @@
   fixture_clear (&f);
 }
 
-/* The owner is killed. The next owner finds two listed results and part of a third text. It must
- * not generate the listed items again, must write new results after the listed ones, and must
- * continue the third text. */
+/* The owner of a batch is killed. The next owner finds in the store two complete results and part
+ * of a third text. The next owner must not generate the two complete items again, must write new
+ * results after theirs, and must continue the third text. */
 Test (batch, next_owner_skips_listed_items_and_continues_partial_text)
 {
   const LcVersion versions[] = { 4 };
@@ -412,7 +412,8 @@
   fixture_clear (&second_step);
 }
 
-/* Records eight texts of 20 events each, 20 ms apart, in the history. */
+/* Records eight texts of 20 events each, 20 ms apart, in the history, which holds the text lengths
+ * and stream speeds that later batches of the model expect. */
 static void
 fill_batch_history (LcBatchHistory *history)
 {
--- a/packages/core/tests/test-breaker.c
+++ b/packages/core/tests/test-breaker.c
@@ -30,7 +30,8 @@
   cr_assert_eq (breaker.state, LC_BREAKER_CLOSED);
 }
 
-/* An engine that fails each trial request must get the next one after a longer time. */
+/* A half-open breaker lets a trial request through to the engine. With each trial request that
+ * fails, the time until the next one must grow. */
 Test (breaker, open_time_grows_with_each_failed_trial)
 {
   LcBreaker breaker = { 0 };
--- a/packages/core/tests/test-catalog.c
+++ b/packages/core/tests/test-catalog.c
@@ -12,7 +12,7 @@
 
 #define TIME_STEP (10 * LB_MSEC)
 #define STEPS_PER_TICK 5
-#define STEPS_PER_RANK_UPDATE 200 /* delay until health checks change the takeover ranks */
+#define STEPS_PER_RANK_UPDATE 200 /* steps between two updates of the takeover ranks */
 #define LISTING_PERIOD (400 * LB_MSEC)
 #define MAX_FEED_WAIT (700 * LB_MSEC)
 #define CALL_TIMEOUT LB_SEC /* time after which a call without an answer is abandoned */
@@ -60,11 +60,12 @@
   int start;
   LbTime cut_off_until;
   LbTime paused_until;
-  LbTime in_contact_since; /* when the instance was last paused or cut off from the store, or was
-                              started */
+  LbTime in_contact_since; /* latest time at which the instance was paused or cut off from the
+                              store, or started */
   Call list, write, feed;
   LbTime next_listing_at;
-  int64_t followed_version; /* table version up to which the change feed was read; 0: none yet */
+  int64_t followed_version; /* version of the store's table up to which this instance has read the
+                               change feed; 0: none yet */
   LcRegistration snapshot[MAX_ENDPOINTS];
   size_t n_snapshot;
   LbTime valid_at;
@@ -440,8 +441,8 @@
   return w->now >= instance->cut_off_until + LB_SEC && !is_instance_paused (w, instance);
 }
 
-/* Numbers the healthy instances other than the publisher by index. The first three get takeover
- * ranks 0 to 2; later and unhealthy ones get -1. */
+/* Sets the order in which instances take over from a lost publisher: the first three healthy
+ * instances, by index and without the publisher, get takeover ranks 0 to 2; all others get -1. */
 static void
 update_takeover_rank (World *w, size_t index)
 {
@@ -482,8 +483,8 @@
   return true;
 }
 
-/* Asserts that an instance in contact with the store sends no new work to an endpoint that has been
- * leaving for longer than MAX_LEAVING_DELAY. */
+/* Asserts that the instance, if in contact with the store, no longer sees an endpoint as available
+ * that has been leaving for longer than MAX_LEAVING_DELAY. */
 static void
 assert_snapshot_shows_leaving_endpoints (World *w, const Instance *instance, unsigned long seed)
 {
@@ -622,9 +623,10 @@
   run_random_fault_scenario (300, 60, 15 * LB_SEC, 7);
 }
 
-/* Guards against followers that list rows although nothing changes. Without the catalog, 300
- * instances that each list 60 endpoints read 45,000 rows a second; with it they must stay below 180
- * listed rows and 900 change feed rows a second. */
+/* Guards against instances that list the endpoints' rows themselves although nothing changes.
+ * Without the catalog (the list that one instance publishes for all), 300 instances that each list
+ * 60 endpoints read 45,000 rows a second; with it they must stay below 180 listed rows and 900
+ * change feed rows a second. */
 Test (catalog, an_unchanged_site_reads_few_rows)
 {
   World *w = LB_NEW (World);
@@ -671,8 +673,8 @@
   "{\"name\":\"" name                                                                              \
   "\",\"address\":\"10.0.0.1:80\",\"service\":\"s\",\"slots\":1,\"leaving\":false}"
 
-/* A publisher's write is delayed by two seconds: the snapshot is too old on arrival and must not be
- * used. */
+/* The write of a published endpoint list is delayed by two seconds: the list is too old when it
+ * arrives, and must not be used. */
 Test (catalog, a_delayed_snapshot_is_not_used)
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
@@ -688,7 +690,8 @@
   lc_catalog_free (catalog);
 }
 
-/* More rows changed than fit into one write: the incomplete rows must not be used as a snapshot. */
+/* More endpoint rows changed than the publisher can put into one write of its list: instances must
+ * not use the list before the remaining rows have arrived. */
 Test (catalog, an_incomplete_listing_is_not_used)
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
@@ -742,8 +745,8 @@
   lc_catalog_free (catalog);
 }
 
-/* 200 endpoints are listed for the first time: no write may exceed the limit of the store's
- * transactions. */
+/* A publisher lists 200 endpoints for the first time: none of the writes that publish the list may
+ * exceed the limit of the store's transactions. */
 Test (catalog, a_long_listing_is_split_into_several_writes)
 {
   enum
@@ -814,8 +817,8 @@
                    "the invalid registration '%s' was accepted", texts[i]);
 }
 
-/* Guards against followers that list the rows themselves between two listings of a publisher with a
- * long period. */
+/* Guards against instances that list the endpoints' rows themselves, because a publisher with a
+ * long period has not published its next list yet. */
 Test (catalog, timeouts_scale_with_the_publishers_period)
 {
   LcCatalog *catalog = lc_catalog_new ("a", "1", 0, LB_SEC);
--- a/packages/core/tests/test-concurrency.c
+++ b/packages/core/tests/test-concurrency.c
@@ -33,8 +33,9 @@
   cr_assert_gt (concurrency.limit, 7);
 }
 
-/* One slow period delays all requests in flight. If each of them decreased the limit, the limit
- * would fall to 1 and the engine would be nearly idle. */
+/* One slow period of an engine delays the first bytes of all requests in flight. If each of these
+ * requests decreased the concurrency limit, the limit would fall to 1 and the engine would be
+ * nearly idle. */
 Test (concurrency, limit_decreases_once_for_concurrent_slow_requests)
 {
   LcConcurrency concurrency = make_concurrency_limit_after_first_byte (0.05);
--- a/packages/core/tests/test-config.c
+++ b/packages/core/tests/test-config.c
@@ -160,8 +160,9 @@
   json_object_put (change);
 }
 
-/* A lagging replica answers the read of the head row with revision 5 although 6 is active. The read
- * must neither activate 5 nor count as a confirmation. */
+/* A lagging replica of the store returns revision 5 as the newest one, although 6 is active. The
+ * read must neither activate revision 5 nor count as a confirmation that the active revision is
+ * current. */
 Test (config, stale_store_read_neither_reverts_nor_confirms)
 {
   report_peers_as_members (2, 2);
@@ -176,8 +177,8 @@
   cr_assert_not (lc_config_is_ready_for_new_work (config));
 }
 
-/* A push is lost, so the next change can't be applied: the instance fetches the whole set from the
- * sender. */
+/* A peer's push of a configuration change is lost, so the next change can't be applied: the
+ * instance fetches the whole resource set from the sender of the next change. */
 Test (config, lost_push_makes_instance_fetch_the_whole_set)
 {
   make_config_ready_at_revision (4);
@@ -193,9 +194,9 @@
   json_object_put (change);
 }
 
-/* Guards against a replaced instance that routes callers by an empty or old configuration while the
- * store is unavailable. It may serve only once a majority of its peers has reported their
- * revisions. */
+/* Guards against an instance that has replaced another one and routes callers by an empty or old
+ * configuration while the store is unavailable. The new instance may serve only once a majority of
+ * its peers has reported their revisions. */
 Test (config, new_instance_without_store_waits_for_a_majority_of_peers)
 {
   lc_config_store_read_failed (config, now, &actions);
@@ -217,9 +218,9 @@
   cr_assert_eq (lc_config_active_revision (config), 5);
 }
 
-/* The first store read of a replaced instance returns the outdated revision 4, while callers
- * already saw 5. The instance must not accept calls before its peers have reported 5 and it has
- * activated 5. */
+/* An instance has just replaced another one. Its first store read returns the outdated revision 4,
+ * while callers already saw 5. The instance must not accept calls before its peers have reported 5
+ * and it has activated 5. */
 Test (config, new_instance_with_a_stale_read_waits_for_its_peers)
 {
   report_peers_as_members (2, 2);
@@ -298,8 +299,8 @@
                                                       .announced_change = announced_change });
 }
 
-/* Runs for a number of seconds without the store. i2 and i3 answer queries; i4 answers only if
- * i4_answers. */
+/* Runs for a number of seconds without the store. Peers i2 and i3 answer the queries for their
+ * revision; i4 answers only if i4_answers. */
 static void
 run_without_store_for_seconds (int seconds, bool i4_answers)
 {
--- a/packages/core/tests/test-dispatch-answers.c
+++ b/packages/core/tests/test-dispatch-answers.c
@@ -11,7 +11,7 @@
 
 /* Submits a request and returns its first attempt. */
 static LcAction
-submit_and_take_first_attempt (Fixture *f, LcRequestSpec *spec)
+submit_request_and_take_first_attempt (Fixture *f, LcRequestSpec *spec)
 {
   cr_assert (fixture_submit_request (f, spec));
   return fixture_expect_action_of_request (f, LC_ACTION_SEND, spec->id);
@@ -19,7 +19,7 @@
 
 /* Advances the time past the retry delay and returns the next attempt of the request. */
 static LcAction
-wait_and_take_retry_attempt (Fixture *f, const LcRequestSpec *spec)
+wait_for_retry_and_take_attempt (Fixture *f, const LcRequestSpec *spec)
 {
   fixture_tick_dispatch_at (f, f->now + 3 * LB_SEC);
   return fixture_expect_action_of_request (f, LC_ACTION_SEND, spec->id);
@@ -35,11 +35,11 @@
   fixture_init (&f, &settings, 2, 4);
 
   LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
-  LcAction first = submit_and_take_first_attempt (&f, &spec);
+  LcAction first = submit_request_and_take_first_attempt (&f, &spec);
 
   fixture_end_attempt (&f, spec.id, 1, LC_END_BROKEN);
 
-  LcAction second = wait_and_take_retry_attempt (&f, &spec);
+  LcAction second = wait_for_retry_and_take_attempt (&f, &spec);
 
   cr_assert_eq (second.attempt, 2);
   cr_assert_str_neq (second.endpoint, first.endpoint);
@@ -66,16 +66,16 @@
 
   LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-  submit_and_take_first_attempt (&f, &spec);
+  submit_request_and_take_first_attempt (&f, &spec);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 2, false), LC_PIECE_FORWARD);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 2, false), LC_PIECE_DROP);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 2, 1, false), LC_PIECE_FORWARD);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 5, 1, false), LC_PIECE_DROP);
   fixture_expect_action_of_request (&f, LC_ACTION_CANCEL, spec.id);
-  cr_assert_eq (wait_and_take_retry_attempt (&f, &spec).resume_at, 3);
+  cr_assert_eq (wait_for_retry_and_take_attempt (&f, &spec).resume_at, 3);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 2, 2, 2, false), LC_PIECE_DROP,
                 "a piece that overlaps forwarded tokens was forwarded");
-  cr_assert_eq (wait_and_take_retry_attempt (&f, &spec).resume_at, 3);
+  cr_assert_eq (wait_for_retry_and_take_attempt (&f, &spec).resume_at, 3);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 3, 3, 1, true), LC_PIECE_FORWARD);
   fixture_end_attempt (&f, spec.id, 3, LC_END_COMPLETE);
   cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_FINISH, spec.id).error, LB_OK);
@@ -91,12 +91,12 @@
   fixture_init (&f, &settings, 2, 4);
 
   LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
-  LcAction first = submit_and_take_first_attempt (&f, &spec);
+  LcAction first = submit_request_and_take_first_attempt (&f, &spec);
 
   fixture_deliver_piece (&f, spec.id, 1, 0, 5, false);
   fixture_end_attempt (&f, spec.id, 1, LC_END_BROKEN);
 
-  LcAction second = wait_and_take_retry_attempt (&f, &spec);
+  LcAction second = wait_for_retry_and_take_attempt (&f, &spec);
 
   cr_assert_eq (second.resume_at, 5);
   cr_assert_str_neq (second.endpoint, first.endpoint);
@@ -117,7 +117,7 @@
   LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
   spec.resumable = false;
-  submit_and_take_first_attempt (&f, &spec);
+  submit_request_and_take_first_attempt (&f, &spec);
   fixture_deliver_piece (&f, spec.id, 1, 0, 5, false);
   fixture_end_attempt (&f, spec.id, 1, LC_END_BROKEN);
 
@@ -139,7 +139,7 @@
   LcRequestSpec truncated = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
   truncated.resumable = false;
-  submit_and_take_first_attempt (&f, &truncated);
+  submit_request_and_take_first_attempt (&f, &truncated);
   fixture_deliver_piece (&f, truncated.id, 1, 0, 10, false);
   fixture_end_attempt (&f, truncated.id, 1, LC_END_BROKEN);
   cr_assert_eq (fixture_expect_action_of_request (&f, LC_ACTION_FINISH, truncated.id).error,
@@ -147,7 +147,7 @@
 
   LcRequestSpec complete = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
-  submit_and_take_first_attempt (&f, &complete);
+  submit_request_and_take_first_attempt (&f, &complete);
   fixture_deliver_piece (&f, complete.id, 1, 0, 10, true);
   cr_assert_eq (fixture_deliver_piece (&f, complete.id, 1, 10, 1, false), LC_PIECE_DROP);
   fixture_end_attempt (&f, complete.id, 1, LC_END_BROKEN);
@@ -164,7 +164,7 @@
   fixture_init (&f, &hedging_settings, 2, 4);
 
   LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
-  LcAction first = submit_and_take_first_attempt (&f, &spec);
+  LcAction first = submit_request_and_take_first_attempt (&f, &spec);
 
   fixture_tick_dispatch_at (&f, f.now + 2 * LB_SEC);
 
@@ -192,7 +192,7 @@
   LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
   spec.delivery = LC_DELIVER_BUFFERED;
-  submit_and_take_first_attempt (&f, &spec);
+  submit_request_and_take_first_attempt (&f, &spec);
   fixture_tick_dispatch_at (&f, f.now + 2 * LB_SEC);
   fixture_expect_action_of_request (&f, LC_ACTION_SEND, spec.id);
   cr_assert_eq (fixture_deliver_piece (&f, spec.id, 1, 0, 3, false), LC_PIECE_FORWARD);
@@ -220,7 +220,7 @@
   LcRequestSpec spec = fixture_make_request_spec (&f, LC_KIND_LIVE);
 
   spec.deadline = f.now + 5 * LB_SEC;
-  submit_and_take_first_attempt (&f, &spec);
+  submit_request_and_take_first_attempt (&f, &spec);
   fixture_deliver_piece (&f, spec.id, 1, 0, 1, false);
   cr_assert_eq (lc_dispatch_next_tick (f.dispatch), spec.deadline);
   fixture_tick_dispatch_at (&f, spec.deadline);
--- a/packages/core/tests/test-dispatch-leaving.c
+++ b/packages/core/tests/test-dispatch-leaving.c
@@ -325,8 +325,8 @@
   fixture_clear (&f);
 }
 
-/* A plain service does not report its load, so the poller records any reply as a report. The first
- * call is held only until that reply. */
+/* A plain service does not report its load, so any reply to the instance's poll counts as a load
+ * report. The first call is held back only until that reply arrives. */
 Test (leaving, service_without_load_reports_is_used)
 {
   Fixture f;
--- a/packages/core/tests/test-dispatch-quarantine.c
+++ b/packages/core/tests/test-dispatch-quarantine.c
@@ -120,8 +120,9 @@
   fixture_clear (&f);
 }
 
-/* Any reply of an endpoint, or the first piece of a resumable stream, proves that the endpoint did
- * not crash on the content. Two earlier crash reports for it must then no longer count. */
+/* Any reply of an endpoint, or the first piece of a resumable stream, proves that the request's
+ * content did not crash the endpoint. Two earlier crash reports for this content must then no
+ * longer count. */
 Test (dispatch_quarantine, a_reply_clears_the_content)
 {
   static const LcAttemptEnd ends[] = { LC_END_COMPLETE, LC_END_FAILED, LC_END_REJECTED };
--- a/packages/core/tests/test-dispatch-random.c
+++ b/packages/core/tests/test-dispatch-random.c
@@ -29,8 +29,8 @@
   uint32_t attempt;
   int endpoint;
   bool started;
-  bool damaged;     /* a piece was lost or reordered */
-  int64_t next;     /* index of the next token that the endpoint sends */
+  bool damaged;     /* a piece of this attempt's answer was lost or reordered */
+  int64_t next;     /* index, in the answer, of the next token that the endpoint sends */
   int64_t received; /* answer tokens that the dispatch has, with those of earlier attempts */
 } EndpointAttempt;
 
@@ -46,11 +46,11 @@
   bool leaving[N_ENDPOINTS];
   int incarnation[N_ENDPOINTS];
   int removed;        /* index of the endpoint that the configuration lacks; -1: none */
-  bool forbid_cancel; /* the current command must not cancel attempts */
+  bool forbid_cancel; /* the command that is being executed must not cancel attempts */
 } Model;
 
 static bool
-draw_with_probability (Model *model, double probability)
+draw_bool_with_probability (Model *model, double probability)
 {
   return gsl_rng_uniform (model->random) < probability;
 }
@@ -160,11 +160,11 @@
   LcRequestSpec spec = fixture_make_request_spec (&model->f, kind);
   Call *call = &model->calls[spec.id];
 
-  spec.repeatable = draw_with_probability (model, 0.6);
-  spec.resumable = spec.repeatable && draw_with_probability (model, 0.7);
-  spec.delivery = draw_with_probability (model, 0.6) ? LC_DELIVER_STREAM : LC_DELIVER_BUFFERED;
+  spec.repeatable = draw_bool_with_probability (model, 0.6);
+  spec.resumable = spec.repeatable && draw_bool_with_probability (model, 0.7);
+  spec.delivery = draw_bool_with_probability (model, 0.6) ? LC_DELIVER_STREAM : LC_DELIVER_BUFFERED;
   spec.priority = (int)gsl_rng_uniform_int (model->random, 5);
-  if (draw_with_probability (model, 0.5))
+  if (draw_bool_with_probability (model, 0.5))
     spec.deadline = model->f.now + gsl_rng_uniform_int (model->random, 3 * LB_SEC);
   snprintf (spec.caller, sizeof spec.caller, "c%d", (int)gsl_rng_uniform_int (model->random, 5));
   *call = (Call){ .spec = spec, .length = 1 + gsl_rng_uniform_int (model->random, 12) };
@@ -245,19 +245,19 @@
   int64_t offset = endpoint_attempt->next;
 
   endpoint_attempt->next += tokens;
-  if (draw_with_probability (model, 0.03))
+  if (draw_bool_with_probability (model, 0.03))
     {
       endpoint_attempt->damaged = true;
       return;
     }
-  if (draw_with_probability (model, 0.03)
+  if (draw_bool_with_probability (model, 0.03)
       && endpoint_attempt->next < endpoint_attempt->call->length)
     {
       endpoint_attempt->damaged = true;
       deliver_piece_and_check_verdict (model, endpoint_attempt, endpoint_attempt->next, 1);
     }
   deliver_piece_and_check_verdict (model, endpoint_attempt, offset, tokens);
-  if (draw_with_probability (model, 0.05))
+  if (draw_bool_with_probability (model, 0.05))
     deliver_piece_and_check_verdict (model, endpoint_attempt, offset, tokens);
 }
 
@@ -269,9 +269,9 @@
   else if (endpoint_attempt->next == endpoint_attempt->call->length)
     end_open_attempt (model, endpoint_attempt,
                       endpoint_attempt->damaged ? LC_END_BROKEN : LC_END_COMPLETE);
-  else if (draw_with_probability (model, 0.02))
+  else if (draw_bool_with_probability (model, 0.02))
     end_open_attempt (model, endpoint_attempt, LC_END_BROKEN);
-  else if (draw_with_probability (model, 0.02))
+  else if (draw_bool_with_probability (model, 0.02))
     end_open_attempt (model, endpoint_attempt, LC_END_FAILED);
   else
     send_next_piece_of_attempt (model, endpoint_attempt);
@@ -314,7 +314,8 @@
   int removed = (int)gsl_rng_uniform_int (model->random, N_ENDPOINTS);
   LcEndpointMember kept = model->f.members[removed];
 
-  model->removed = model->leaving[removed] || draw_with_probability (model, 0.5) ? -1 : removed;
+  model->removed
+      = model->leaving[removed] || draw_bool_with_probability (model, 0.5) ? -1 : removed;
   model->forbid_cancel = true;
   if (model->removed >= 0)
     {
@@ -335,9 +336,9 @@
 
   if (endpoint == model->removed)
     remove_or_restore_random_endpoint (model);
-  else if (draw_with_probability (model, 0.3))
+  else if (draw_bool_with_probability (model, 0.3))
     mark_endpoint_leaving (model, endpoint);
-  else if (draw_with_probability (model, 0.5))
+  else if (draw_bool_with_probability (model, 0.5))
     restart_endpoint (model, endpoint);
   else
     remove_or_restore_random_endpoint (model);
@@ -359,13 +360,13 @@
   if (model->f.now >= lc_dispatch_next_tick (model->f.dispatch))
     fixture_tick_dispatch_at (&model->f, model->f.now);
   check_and_record_pending_actions (model);
-  if (may_submit && draw_with_probability (model, 0.5))
+  if (may_submit && draw_bool_with_probability (model, 0.5))
     submit_random_request (model);
-  else if (may_submit && draw_with_probability (model, 0.02) && model->f.last_id)
+  else if (may_submit && draw_bool_with_probability (model, 0.02) && model->f.last_id)
     cancel_random_request (model);
-  else if (may_submit && draw_with_probability (model, 0.02))
+  else if (may_submit && draw_bool_with_probability (model, 0.02))
     inject_random_endpoint_change (model);
-  else if (model->n_attempts && draw_with_probability (model, 0.05))
+  else if (model->n_attempts && draw_bool_with_probability (model, 0.05))
     deliver_piece_and_check_verdict (
         model, &model->attempts[gsl_rng_uniform_int (model->random, model->n_attempts)], 0, 1);
   else if (model->n_open)
--- a/packages/core/tests/test-duty.c
+++ b/packages/core/tests/test-duty.c
@@ -6,8 +6,8 @@
 
 static const LcDutyCandidate instances[] = { { "a", 1 }, { "b", 1 }, { "c", 1 }, { "d", 1 } };
 
-/* All instances notice at the same time that the owner of a batch is lost, and take over in the
- * order of their ranks, so no two may have the same rank. */
+/* All instances notice at the same time that the owner of a batch is lost, and try to take the
+ * batch over in the order of their ranks, so no two instances may have the same rank. */
 Test (duty, every_candidate_has_a_distinct_rank)
 {
   bool is_rank_taken[4] = { false };
@@ -28,8 +28,9 @@
   cr_assert_str_eq (lc_duty_choose_holder ("reader", "", instances, 0), "");
 }
 
-/* A duty must not move back to an instance that returns after a brief absence: the batches of a
- * model would open a new connection for each slot of each engine. */
+/* A duty (here, running the batches of a model) must not move back to an instance that returns
+ * after a brief absence, because the batches would open a new connection for each slot of each
+ * engine. */
 Test (duty, the_current_holder_keeps_the_duty)
 {
   for (size_t i = 0; i < 4; i++)
@@ -39,8 +40,9 @@
                     lc_duty_choose_holder ("reader", "", instances, 4));
 }
 
-/* Guards against duties given to one of 235 weak machines although there are 60 strong ones:
- * batches on weak machines started a quarter of a second later, and again after each power loss. */
+/* Guards against duties (running the batches of a model) that are assigned to one of 235 weak
+ * machines although there are 60 strong ones: batches on weak machines started a quarter of a
+ * second later, and again after each power loss. */
 Test (duty, strong_machines_get_nearly_all_duties)
 {
   enum
@@ -68,8 +70,8 @@
   cr_assert_geq (n_on_strong, N_DUTIES * 99 / 100);
 }
 
-/* A machine with six times the strength of 99 others must get a larger share of the duties, but not
- * all. */
+/* A machine with six times the strength of each of 99 others must be assigned a larger share of the
+ * duties (such as running the batches of a model), but not all of them. */
 Test (duty, a_single_strong_machine_gets_its_share)
 {
   enum
@@ -96,8 +98,8 @@
   cr_assert_leq (n_on_strong, N_DUTIES * 36 / 100);
 }
 
-/* A machine that reports no strength, because of an older version or a wrong setting, must remain a
- * candidate, since it may be the only one. */
+/* A machine that reports no strength, because of an older version or a wrong setting, must still be
+ * eligible for duties, since no other machine may be left. */
 Test (duty, a_machine_without_strength_can_hold_a_duty)
 {
   const LcDutyCandidate without_strength[] = { { "a", 0 }, { "b", -1 } };
--- a/packages/core/tests/test-endpoints.c
+++ b/packages/core/tests/test-endpoints.c
@@ -312,8 +312,9 @@
   fixture_clear (&f);
 }
 
-/* An endpoint gets a new address in the configuration, so it is a new process without a report. The
- * swap, breaker and load of the previous process do not apply to it. */
+/* An endpoint gets a new address in the configuration, so another process runs there, and that
+ * process has not reported its load yet. The swap, breaker and load of the process at the old
+ * address do not apply to the new one. */
 Test (membership, new_address_is_a_new_process)
 {
   Fixture f;
@@ -331,8 +332,9 @@
   fixture_clear (&f);
 }
 
-/* A plain service states its incarnation in some replies only. If a reply without one
- * counted as a new process, it would close the breaker and clear the leaving mark. */
+/* A plain service states its incarnation in some replies only. If a reply without an incarnation
+ * counted as one of a new process, the breaker would close and the endpoint would no longer count
+ * as leaving. */
 Test (membership, report_without_an_incarnation_is_of_the_same_process)
 {
   Fixture f;
--- a/packages/core/tests/test-engine-plan.c
+++ b/packages/core/tests/test-engine-plan.c
@@ -52,8 +52,8 @@
   lc_demand_free (demand);
 }
 
-/* Demand varies slightly with the lengths of texts. A small imbalance must not move an engine,
- * since each move costs a load of weights. */
+/* The demand for a model varies slightly with the lengths of its texts. A small imbalance must not
+ * move an engine to another model, since each move costs a load of weights. */
 Test (engine_plan, small_imbalance_moves_no_engine)
 {
   LcDemand *demand = lc_demand_new ();
@@ -139,8 +139,8 @@
   lc_engine_plan_clear (&read);
 }
 
-/* Engines are put in unsorted order, one of them twice, and some are removed. Each engine that
- * remains must be found once. */
+/* Engines are added to a plan in unsorted order, one of them twice, and some are removed. Each
+ * engine that remains must be found once. */
 Test (engine_plan, engines_put_in_unsorted_order_are_found)
 {
   static const char *const names[] = { "i-7", "i-1", "i-9", "i-3", "i-1", "i-5" };
@@ -264,8 +264,8 @@
   gsl_rng_free (random);
 }
 
-/* Makes nine engines. model_indexes: for each engine, the index in names of the model that it is
- * assigned to. */
+/* Makes nine engines. model_indexes: for each engine, the index in `names` of the model to which
+ * the engine is assigned. */
 static void
 make_nine_engines (LcPlanEntry *engines, const LbName *names, const char *model_indexes)
 {
@@ -278,8 +278,9 @@
 }
 
 /* Initially the model with the least demand has four engines and one with high demand has two, so
- * that each of its steps runs in two rounds and ends one to two seconds late. The sum of lack and
- * excess must be compared with the threshold, not each one alone. */
+ * that each step of the latter runs in two rounds and ends one to two seconds late. An engine must
+ * be moved if the surplus of one model plus the shortage of the other exceeds the threshold, even
+ * if neither of the two does alone. */
 Test (engine_plan, lack_and_excess_both_count_as_imbalance)
 {
   static const LbName three_models[] = { "light", "heavy", "middle" };
@@ -300,9 +301,9 @@
   lc_demand_free (demand);
 }
 
-/* Engines that register one after the other are assigned as they are listed: here 5, 3 and 1 to the
- * three models. Without rebalancing, the first steps of a trainer would wait for its only engine.
- */
+/* Engines that register one after the other are assigned in the order in which they are listed: in
+ * this case 5, 3 and 1 to the three models. Without rebalancing, the first steps of a trainer would
+ * wait for the only engine of its model. */
 Test (engine_plan, engines_are_assigned_evenly_without_demand)
 {
   static const LbName three_models[] = { "a", "b", "c" };
--- a/packages/core/tests/test-fleet.c
+++ b/packages/core/tests/test-fleet.c
@@ -136,10 +136,10 @@
   return NULL;
 }
 
-/* A site of 295 instances renews and lists all rows only every few seconds. When the owner of a
- * step lost power, that was detected only after 2.5 s, and all texts of the step were late. An
- * owner renews a second row, its row on duty, which is listed every 0.3 s and must reveal the loss
- * sooner. */
+/* In a site of 295 instances, the rows of all instances are renewed and listed only every few
+ * seconds. When the owner of a step lost power, that was detected only after 2.5 s, and all texts
+ * of the step were late. So an instance that owns steps also renews a second row, the row on duty.
+ * That row is listed every 0.3 s and must reveal the loss sooner. */
 Test (fleet, a_row_on_duty_shows_a_dead_owner_sooner)
 {
   enum
@@ -180,9 +180,9 @@
   lc_fleet_free (on_duty);
 }
 
-/* The owner of a step was killed and restarted without a duty. Its second row, the row on duty, is
- * from the previous incarnation and no longer changes. The newer general row must show the instance
- * as alive. */
+/* The owner of a step was killed and restarted, and owns no step since. The second row that it
+ * renewed as an owner (the row on duty) is from the previous incarnation and no longer changes. The
+ * newer general row must show the instance as alive. */
 Test (fleet, a_row_on_duty_of_an_earlier_incarnation_is_ignored)
 {
   LcFleet *all = lc_fleet_new ("a");
@@ -212,8 +212,9 @@
   lc_fleet_free (on_duty);
 }
 
-/* Callers get the address of an instance until it is declared dead, and would wait for a dead one.
- * So after one missed renewal an instance must not be fresh: its address is then given last. */
+/* Callers get the address of an instance until the instance is declared dead, and a call to a dead
+ * instance waits for its timeout. So an instance that missed one renewal must not count as fresh,
+ * and its address is given to callers after all others. */
 Test (fleet, an_instance_that_missed_a_renewal_is_not_fresh)
 {
   LcFleet *fleet = lc_fleet_new ("a");
@@ -277,8 +278,9 @@
   lc_fleet_free (fleet);
 }
 
-/* An instance that has had no answer from the store yet writes a row without the time of renewal.
- * Only its next renewal may confirm it. */
+/* An instance that has had no answer from the store yet does not know the store's clock, and writes
+ * its row without the time of renewal. Only the next renewal of this row may confirm to other
+ * instances that the instance runs. */
 Test (fleet, the_next_renewal_confirms_an_instance)
 {
   LcFleet *fleet = make_fleet_after_first_list_with_b (0);
--- a/packages/core/tests/test-label.c
+++ b/packages/core/tests/test-label.c
@@ -2,8 +2,8 @@
 
 #include <criterion/criterion.h>
 
-/* The engine swaps weights during a stream. A label with only the version at the start would be
- * wrong for the tokens after the swap. */
+/* The engine swaps weights during a stream. A label (the weight versions of a sample's tokens) with
+ * only the version at the start would be wrong for the tokens after the swap. */
 Test (label, weight_swap_during_sample_adds_a_span)
 {
   LcLabel label;
@@ -21,8 +21,9 @@
   cr_assert_eq (lc_label_staleness (&label, 39), 0);
 }
 
-/* The engine left the version out, or two streams were mixed, so it is unknown which weights
- * generated a token. A later valid piece must not make the label complete again. */
+/* The engine left the weight version out, or two streams were mixed, so it is unknown which weights
+ * generated a token. A later valid piece must not make the sample's label (the weight versions of
+ * its tokens) complete again. */
 Test (label, missing_or_contradictory_version_is_unlabelled_for_good)
 {
   const struct
@@ -43,8 +44,8 @@
     }
 }
 
-/* The engine reused KV cache that version 38 had computed. Judged by the generating version alone,
- * the sample would count as fresher than it is. */
+/* The engine reused KV cache entries that weight version 38 had computed. If only the version that
+ * generated the tokens counted, the sample would seem less stale than it is. */
 Test (label, version_of_reused_kv_cache_counts_for_staleness)
 {
   LcLabel label;
--- a/packages/core/tests/test-lease-ends.c
+++ b/packages/core/tests/test-lease-ends.c
@@ -49,10 +49,10 @@
   return found;
 }
 
-/* Makes the lease of a holder that claimed at CLAIMED_AT and gets no answers from the store
- * afterwards. */
+/* Makes a lease that its holder claimed at CLAIMED_AT. The holder gets no answers from the store
+ * after the claim. */
 static LcLease *
-make_lease_held_since_claim (void)
+make_held_lease_without_later_replies (void)
 {
   LcLease *lease = make_candidate_lease ("a");
   LcLeaseRow row;
@@ -87,7 +87,7 @@
  * lease expires for others. */
 Test (lease_ends, holder_with_a_slow_clock_stops_before_others_can_claim)
 {
-  LcLease *lease = make_lease_held_since_claim ();
+  LcLease *lease = make_held_lease_without_later_replies ();
   LbTime expiry_for_others = CLAIMED_AT + (LbTime)(LEASE_DURATION / (1 + MAX_CLOCK_DRIFT));
 
   cr_assert (is_order_allowed_after_ticks_until (lease, CLAIMED_AT + 3800 * LB_MSEC),
--- a/packages/core/tests/test-lease.c
+++ b/packages/core/tests/test-lease.c
@@ -12,7 +12,7 @@
 #define TIME_STEP (10 * LB_MSEC)
 #define TICK_INTERVAL (50 * LB_MSEC)
 
-/* A read or write of the table in progress. */
+/* A read or write of the lease's table row, in progress. */
 typedef struct
 {
   int holder; /* index of the holder that started it; -1: the entry is free */
@@ -34,7 +34,7 @@
   LbTime paused_until;
   LbTime next_tick;
   LbTime tick;
-  bool is_cut_off; /* its reads and writes of the table fail */
+  bool is_cut_off; /* all reads and writes of the lease row by this instance fail */
 } Holder;
 
 static Holder holders[N_HOLDERS];
@@ -557,8 +557,8 @@
   lc_lease_free (lease);
 }
 
-/* lc_lease_mark_holder_ended applies to one version of the row: a later renewal shows that the
- * holder is alive. */
+/* A candidate was told that the holder has ended, which applies to one version of the lease's row
+ * only: a later renewal of the lease shows that the holder is alive. */
 Test (lease, a_later_renewal_cancels_the_ended_mark)
 {
   LcLease *lease = make_candidate_lease ();
@@ -603,8 +603,8 @@
   lc_lease_free (lease);
 }
 
-/* Simulates the table for one instance: answers a read with a row of `holder` and `fence`, and
- * confirms the claim that the instance may write next. */
+/* Simulates the lease table for one instance: answers the read of the lease row with a row of
+ * `holder` and `fence`. If the instance then writes a claim, confirms the claim. */
 static void
 answer_lease_read_and_confirm_claim (LcLease *lease, const char *holder, int64_t fence, LbTime at)
 {
--- a/packages/core/tests/test-organisations.c
+++ b/packages/core/tests/test-organisations.c
@@ -116,8 +116,8 @@
   lc_organisations_free (organisations);
 }
 
-/* An operator adds a key while an instance has been cut off from the store for two seconds. Calls
- * with it must be told to retry instead of being rejected for good. */
+/* An operator adds an API key while an instance is cut off from the store for two seconds. The
+ * instance must tell callers with the new key to retry instead of rejecting them for good. */
 Test (organisations, unknown_key_is_rejected_temporarily_while_the_view_is_stale)
 {
   LcOrganisations *organisations = new_organisations_named_post_and_mill ();
--- a/packages/core/tests/test-rollouts-fresh.c
+++ b/packages/core/tests/test-rollouts-fresh.c
@@ -56,8 +56,8 @@
   cr_assert_eq (owner->n_samples, 1);
   cr_assert_str_eq (owner->samples[0], "g1/0 young");
   cr_assert_eq (lc_rollouts_count_invariant_failures (owner->rollouts), 0);
-  /* The trainer got the first reply after all. The cursor of that reply must be accepted, and no
-   * sample be repeated. */
+  /* The trainer received the first reply after all, and pulls with the cursor of that reply. The
+   * cursor must be accepted, and no sample be repeated. */
   owner_pull_without_waiting (owner, first, 42);
   cr_assert_eq (owner->reply_error, LB_OK);
   cr_assert_eq (owner->n_samples, 0);
--- a/packages/core/tests/test-rollouts-labels.c
+++ b/packages/core/tests/test-rollouts-labels.c
@@ -22,8 +22,9 @@
   return next_request;
 }
 
-/* The engine's weights change while it streams. Neither the version at dispatch nor the final
- * version is that of every token, so the label needs two spans. */
+/* The engine's weights change while it streams. Neither the weight version at dispatch nor the
+ * final version is that of all tokens, so the delivered sample must list two spans of tokens, each
+ * with its version. */
 Test (rollouts_labels, weight_swap_during_sample_is_delivered_as_two_spans)
 {
   Owner *owner = owner_new (&plain, 5);
@@ -40,8 +41,8 @@
   owner_free (owner);
 }
 
-/* After a failed weight swap the engine streams on without stating a version. The label would be a
- * guess, so the sample must be generated again. */
+/* After a failed weight swap the engine streams on without stating a weight version. The version of
+ * these tokens would be a guess, so the sample must be generated again. */
 Test (rollouts_labels, sample_with_missing_version_is_regenerated)
 {
   Owner *owner = owner_new (&plain, 5);
@@ -64,7 +65,8 @@
   owner_free (owner);
 }
 
-/* A stream repeats its tokens under another version, so that the text holds tokens of both. */
+/* A stream repeats tokens with another weight version, so the text may mix tokens of both versions:
+ * the sample must be generated again. */
 Test (rollouts_labels, sample_with_contradictory_versions_is_regenerated)
 {
   Owner *owner = owner_new (&plain, 5);
@@ -80,7 +82,8 @@
   owner_free (owner);
 }
 
-/* An answer without any piece states no version for its text. */
+/* The engine's answer ends without any streamed piece, so the weight version of its text is
+ * unknown: the sample must be generated again. */
 Test (rollouts_labels, answer_without_pieces_is_regenerated)
 {
   Owner *owner = owner_new (&plain, 5);
@@ -117,7 +120,8 @@
   owner_free (owner);
 }
 
-/* The resumed stream starts at another offset than requested, so two generations would be mixed. */
+/* The resumed stream starts at another offset than requested, so the text would mix two
+ * generations: the sample must be generated again. */
 Test (rollouts_labels, resume_at_wrong_offset_is_regenerated)
 {
   Owner *owner = owner_new (&plain, 5);
--- a/packages/core/tests/test-rollouts-once.c
+++ b/packages/core/tests/test-rollouts-once.c
@@ -3,8 +3,8 @@
 static const LcSubscription plain = { .share = 1, .idle_weight = 1, .hedge_budget = 0.5 };
 static const LcSubscription strict = { .share = 1, .idle_weight = 1, .strict = true };
 
-/* Creates a second owner, which takes over the step with the first owner's ledger row. The row
- * records the slots that were delivered. */
+/* Creates the next owner of the first owner's step. The next owner gets the first owner's ledger
+ * row, which records the samples that were delivered. */
 static Owner *
 new_owner_from_ledger_of_first (const Owner *first, uint64_t session)
 {
@@ -16,8 +16,8 @@
   return owner;
 }
 
-/* A trainer's pull times out and it repeats the pull, twice in parallel. It must get one chunk
- * three times, not three chunks. */
+/* A trainer's pull times out, and the trainer repeats the pull twice in parallel. All three replies
+ * must contain the same chunk of samples, not three different chunks. */
 Test (rollouts_once, parallel_identical_pulls_get_the_same_chunk)
 {
   Owner *owner = owner_new (&plain, 5);
@@ -43,10 +43,11 @@
   owner_free (owner);
 }
 
-/* A step is opened while the store is unavailable, and its owner dies after a chunk, before the
- * store knows of the step. The trainer posts the step again and pulls with its cursor. If the new
- * owner, also in session 1, rejected the cursor, the trainer would wait for ever; if it ignored the
- * cursor, the trainer would get the chunk's samples twice. */
+/* A step is opened while the store is unavailable, and its owner dies after it delivered a chunk,
+ * before the store knows of the step. The trainer opens the step again at a new owner and pulls
+ * with the cursor of the first owner. Both owners use session number 1. If the new owner rejected
+ * the cursor, the trainer would wait for ever; if it ignored the cursor, the trainer would get the
+ * chunk's samples twice. */
 Test (rollouts_once, cursor_of_an_owner_unknown_to_the_store_is_accepted)
 {
   Owner *first = owner_new (&plain, 5);
@@ -171,8 +172,9 @@
   owner_free (owner);
 }
 
-/* The owner dies after it sent a chunk and before the ledger write for the chunk. The trainer's
- * cursor then has slots that the ledger lacks; if it were ignored, samples would be sent twice. */
+/* The owner dies after it sent a chunk and before the ledger row recorded the chunk in the store.
+ * The trainer's cursor then lists samples that the ledger row lacks; if the next owner ignored the
+ * cursor, it would send these samples again. */
 Test (rollouts_once, new_owner_continues_from_the_trainers_cursor)
 {
   Owner *first = owner_new (&plain, 5);
@@ -200,7 +202,7 @@
 }
 
 /* The owner drains while it has samples that the trainer has not acknowledged. The next owner must
- * not generate them again, and must not deliver acknowledged ones twice. */
+ * not generate these samples again, and must not deliver acknowledged samples twice. */
 Test (rollouts_once, new_owner_takes_over_ready_samples)
 {
   Owner *first = owner_new (&plain, 5);
@@ -269,8 +271,8 @@
   owner_free (owner);
 }
 
-/* An owner that doesn't know that it was replaced gets a cursor of the new owner's session. It must
- * stop delivering the step. */
+/* An owner does not know that another instance has replaced it, and gets a pull whose cursor has
+ * the later session number of the new owner. The old owner must stop delivering the step. */
 Test (rollouts_once, cursor_of_a_later_session_stops_the_owner)
 {
   Owner *first = owner_new (&plain, 5);
@@ -314,8 +316,9 @@
   owner_free (second);
 }
 
-/* A strict subscription has no cursor, so only the ledger records what was delivered. No chunk may
- * be sent before the ledger write that records it has succeeded. */
+/* Pulls of a strict subscription have no cursor, so only the ledger row in the store records what
+ * was delivered. No chunk may be sent before the write of the ledger row that records the chunk has
+ * succeeded. */
 Test (rollouts_once, strict_chunk_is_sent_only_after_its_ledger_write)
 {
   Owner *owner = owner_new (&strict, 5);
--- a/packages/core/tests/test-rollouts.c
+++ b/packages/core/tests/test-rollouts.c
@@ -115,8 +115,8 @@
   owner_free (owner);
 }
 
-/* A drain that waited for generations without an engine would never end. These generations must be
- * cancelled and left to the next owner; those with a first piece are finished. */
+/* A drain that waited for generations that no engine has started would never end. These generations
+ * must be cancelled and left to the next owner; generations with a first piece are finished. */
 Test (rollouts, drain_waits_only_for_started_generations)
 {
   Owner *owner = owner_new (&plain, 2);
@@ -129,8 +129,9 @@
   owner_free (owner);
 }
 
-/* idle_weight 0 asks for the newest weights. While the versions of the engines are unknown, a
- * minimum version above the trainer's staleness bound could leave the step without any engine. */
+/* With idle_weight 0 only staleness counts, so a step asks for engines with the newest weights.
+ * While the versions of the engines are unknown, a minimum version above the one that the trainer's
+ * staleness bound allows could leave the step without any engine. */
 Test (rollouts, min_version_is_the_staleness_bound_while_versions_are_unknown)
 {
   LcSubscription fresh = plain;
--- a/packages/core/tests/test-roster.c
+++ b/packages/core/tests/test-roster.c
@@ -69,7 +69,8 @@
   lc_roster_free (roster);
 }
 
-/* Without an outage of the store, the next list must remove a lost engine. */
+/* If the store had no outage, an endpoint that is missing from the next list must be removed at
+ * once. */
 Test (roster, unlisted_endpoint_is_removed_without_an_outage)
 {
   LcRoster *roster = lc_roster_new ();
@@ -108,8 +109,9 @@
   lc_roster_free (second);
 }
 
-/* The plan's model and version take precedence: an engine's registration lags behind its weight
- * loads. */
+/* The model and the weight version that the engine plan states for an engine take precedence over
+ * the engine's registration, because the registration is updated only some time after each weight
+ * load. */
 Test (roster, plan_takes_precedence_over_division)
 {
   LcRoster *roster = lc_roster_new ();
--- a/packages/core/tests/test-router.c
+++ b/packages/core/tests/test-router.c
@@ -6,7 +6,7 @@
   return lc_router_choose_endpoint (router, f->endpoints, query, now);
 }
 
-/* Calls check for each policy with a new router. */
+/* Calls the function `check` once for each routing policy, each time with a new router. */
 static void
 run_check_for_each_policy (void (*check) (LcRouter *router, const char *policy))
 {
--- a/packages/core/tests/test-scaling.c
+++ b/packages/core/tests/test-scaling.c
@@ -59,8 +59,9 @@
   lc_desired_unref (fixture->desired);
 }
 
-/* Finishes all due orders with the outcome. Returns the number of endpoints ordered in the data
- * centre; -1: no order for the data centre was due. */
+/* Records this outcome for all scaling orders that are due in any data centre. Returns the number
+ * of endpoints that the last order for `data_centre` requested; -1: no order for `data_centre` was
+ * due. */
 static int64_t
 finish_due_scaling_orders (Fixture *fixture, const char *data_centre, LcScalingOutcome outcome)
 {
@@ -86,9 +87,9 @@
                                         fixture->now, &order));
 }
 
-/* A step has 100 generations and there are 72 slots: the remaining generations would wait for a
- * second or two, and the longest of them would end too late. Five more engines must be ordered in
- * the cheapest data centre. */
+/* A training step needs 100 generations at once, but the running engines have 72 slots: the
+ * remaining generations would wait for a second or two, and the longest of them would end too late.
+ * Five more engines must be ordered in the cheapest data centre. */
 Test (scaling, orders_a_slot_for_each_generation_of_a_step)
 {
   Fixture fixture;
@@ -140,7 +141,8 @@
   fixture_clear (&fixture);
 }
 
-/* An order without an answer may be executed after a newer one, so the order must be sent again. */
+/* The answer to a scaling order is lost. The order may still be executed, even after a newer order,
+ * so it is unknown how many endpoints the data centre will run: the order must be sent again. */
 Test (scaling, order_without_an_answer_is_sent_again)
 {
   Fixture fixture;
--- a/packages/core/tests/test-subset.c
+++ b/packages/core/tests/test-subset.c
@@ -100,7 +100,8 @@
   return subset;
 }
 
-/* The number of rows read and kept must not grow with the number of endpoints. */
+/* The number of endpoint rows that an instance reads and keeps must not grow with the number of
+ * endpoints. */
 Test (subset, size_does_not_depend_on_the_number_of_endpoints)
 {
   const size_t sizes[] = { 10000, 20000 };
@@ -142,7 +143,8 @@
   free (table.rows);
 }
 
-/* A service whose keys are the last in the table must not be left without a known endpoint. */
+/* An instance knows only a subset of the endpoints in the table. A service whose rows have the last
+ * keys in the table must have endpoints in the subset too. */
 Test (subset, service_at_the_end_of_the_table_is_found)
 {
   LcSubset *subset = new_subset_with_required_services ();
@@ -160,8 +162,9 @@
   free (table.rows);
 }
 
-/* Leaving endpoints must not be replaced in the subset: otherwise other endpoints would enter and
- * leave the subset with each list, and requests would move along with them. */
+/* Leaving endpoints must stay in the subset of endpoints that an instance uses. If others replaced
+ * them, endpoints would enter and leave the subset with each list of the table, and requests would
+ * move along with them. */
 Test (subset, churn_does_not_displace_other_endpoints)
 {
   LcSubset *subset = new_subset_with_required_services ();
@@ -196,7 +199,8 @@
   free (table.rows - 250);
 }
 
-/* A step of 2,048 generations must not have to wait for the engines of a small subset. */
+/* The subset of engines that an instance uses must grow with its concurrent requests: a step of
+ * 2,048 generations must not wait for the few engines of a small subset. */
 Test (subset, grows_with_the_number_of_concurrent_requests)
 {
   LcSubset *subset = new_subset_with_required_services ();
@@ -211,8 +215,8 @@
   free (table.rows);
 }
 
-/* All instances must use the same endpoints of a service: those whose keys do not exceed the bound
- * that is published for it. */
+/* All instances must use the same subset of a service's endpoints: those whose row keys do not
+ * exceed the bound, a row key that is published for the service. */
 Test (subset, subset_holds_the_rows_up_to_the_published_bounds)
 {
   LcSubset *subset = new_subset_with_required_services ();
@@ -233,7 +237,8 @@
   free (table.rows);
 }
 
-/* High load must not overload the subset while other endpoints are idle. */
+/* Sustained high load must not overload the endpoints of the subset while endpoints outside it are
+ * idle, so the subset must grow. */
 Test (subset, grows_while_its_endpoints_are_overloaded)
 {
   LcSubset *subset = new_subset_with_required_services ();
@@ -258,8 +263,9 @@
   free (table.rows);
 }
 
-/* A subset that is chosen before most endpoints have registered must not include all endpoints that
- * register later with keys within its bounds. */
+/* An instance chooses its subset of endpoints, and with it the range of row keys in the subset,
+ * before most endpoints have registered. The subset must not include all endpoints that register
+ * later with keys in this range. */
 Test (subset, is_cut_when_many_endpoints_register_within_its_bounds)
 {
   LcSubset *subset = new_subset_with_required_services ();
@@ -282,7 +288,8 @@
   free (all.rows);
 }
 
-/* A service without endpoints must not cause each list to read the whole table. */
+/* Endpoints of a service are searched for by reading more pages of the table. For a service without
+ * endpoints, not every list may read the whole table. */
 Test (subset, service_without_endpoints_is_searched_periodically)
 {
   LcSubset *subset = new_subset_with_required_services ();
--- a/packages/core/tests/test-swap-turns.c
+++ b/packages/core/tests/test-swap-turns.c
@@ -12,9 +12,10 @@
                                         .swapping = swapping } };
 }
 
-/* A trainer that catches up after a fault publishes a version every two seconds. If loads were
- * shared evenly between the models, its engines would fall two versions behind and its steps would
- * find no usable engine, while the engines of the other trainer are all up to date. */
+/* A trainer that catches up after a fault publishes a weight version every two seconds. If weight
+ * loads were divided evenly between the models, the engines of this trainer's model would fall two
+ * versions behind and its steps would find no usable engine, while the engines of the other
+ * trainer's model are all up to date. */
 Test (swap_turns, model_with_fewest_usable_engines_is_chosen)
 {
   const LcSwapCandidate candidates[]
@@ -31,9 +32,9 @@
   cr_assert_eq (lc_swap_turns_choose_model (candidates, 2), 1);
 }
 
-/* Two trainers publish weights one second apart. If loads in progress were not counted, all loads
- * would go to engines of the first trainer, and the next step of the second would wait for a whole
- * load. */
+/* Two trainers publish weights one second apart. If weight loads in progress were not counted, all
+ * loads would go to engines of the first trainer's model, and the next step of the second trainer
+ * would wait for the duration of a whole load. */
 Test (swap_turns, loads_in_progress_count_as_usable_engines)
 {
   const LcSwapCandidate candidates[]
@@ -51,9 +52,9 @@
   cr_assert_eq (lc_swap_turns_choose_model (candidates, 2), 2);
 }
 
-/* If the limit were rounded down, only one of nine engines would load at a time. Nine loads took 9
- * s with a new version every 4 s, and a step waited 6 s for the first engine with usable
- * weights. */
+/* One fifth of the engines may load weights at the same time. If this limit were rounded down, only
+ * one of nine engines would load at a time. Nine loads took 9 s with a new version every 4 s, and a
+ * step waited 6 s for the first engine with usable weights. */
 Test (swap_turns, one_fifth_of_the_engines_may_load_rounded_up)
 {
   cr_assert_eq (lc_swap_turns_max_concurrent_loads (9), 2);
--- a/packages/core/tests/test-ticket.c
+++ b/packages/core/tests/test-ticket.c
@@ -66,8 +66,9 @@
   lc_tickets_free (after);
 }
 
-/* A caller redeems its ticket at another instance than the one that issued it. If the other
- * instance ran the call, both could run it. It must only name the instance to relay to. */
+/* A caller sends a call with its ticket to another instance than the one that issued the ticket. If
+ * that other instance ran the call, both instances could run it. The other instance must only
+ * return the name of the issuing instance, to which the call is relayed. */
 Test (ticket, ticket_of_other_instance_is_relayed)
 {
   LcTickets *owner = new_tickets ("a");
--- a/packages/core/tests/test-usage-reports.c
+++ b/packages/core/tests/test-usage-reports.c
@@ -18,7 +18,8 @@
 #define TIME_STEP (50 * LB_MSEC)
 #define DEFAULT_N_SEEDS 300
 
-/* An action of a holder, sent to the store or the platform, and its delayed reply. */
+/* A call to the store or the platform by a holder (an instance that reports usage), and the delayed
+ * reply to the call. */
 typedef struct
 {
   bool is_pending;
@@ -35,7 +36,8 @@
   bool is_reply_lost;
 } Operation;
 
-/* Simulates several holders of the reporting duty, one store and one platform, in virtual time. */
+/* Simulates several instances that report usage (holders of the reporting duty), one store and one
+ * platform, in virtual time. */
 typedef struct
 {
   LcUsageReports *holders[N_HOLDERS];
@@ -93,7 +95,7 @@
 }
 
 static bool
-draw_with_probability (double probability)
+draw_bool_with_probability (double probability)
 {
   return gsl_rng_uniform (simulation.random) < probability;
 }
@@ -103,7 +105,7 @@
 {
   LbTime typical = 5 * LB_MSEC + (LbTime)(gsl_rng_uniform (simulation.random) * 40 * LB_MSEC);
 
-  return simulation.injects_faults && draw_with_probability (0.03)
+  return simulation.injects_faults && draw_bool_with_probability (0.03)
              ? typical + (LbTime)(gsl_rng_uniform (simulation.random) * 4 * LB_SEC)
              : typical;
 }
@@ -123,7 +125,7 @@
                            .text = action->text ? lb_strdup (action->text) : NULL,
                            .apply_at = simulation.now + draw_operation_delay (),
                            .is_reply_lost
-                           = simulation.injects_faults && draw_with_probability (0.05) };
+                           = simulation.injects_faults && draw_bool_with_probability (0.05) };
         simulation.operations[i].reply_at
             = simulation.operations[i].apply_at + draw_operation_delay ();
         return;
@@ -270,14 +272,14 @@
 {
   int holder = (int)gsl_rng_uniform_int (simulation.random, N_HOLDERS);
 
-  if (draw_with_probability (0.005))
+  if (draw_bool_with_probability (0.005))
     lc_usage_reports_begin_duty (simulation.holders[holder]);
-  else if (draw_with_probability (0.005))
+  else if (draw_bool_with_probability (0.005))
     lc_usage_reports_end_duty (simulation.holders[holder]);
-  if (draw_with_probability (0.003))
+  if (draw_bool_with_probability (0.003))
     simulation.store_down_until
         = simulation.now + (LbTime)(gsl_rng_uniform (simulation.random) * 6 * LB_SEC);
-  if (draw_with_probability (0.003))
+  if (draw_bool_with_probability (0.003))
     simulation.platform_down_until
         = simulation.now + (LbTime)(gsl_rng_uniform (simulation.random) * 6 * LB_SEC);
 }
@@ -293,7 +295,8 @@
   cr_assert_str_eq (simulation.accepted_text[window], expected);
 }
 
-/* A holder without faults reports each window after its end and before the report is due. */
+/* Without faults, the instance that reports usage must report each window after the end of the
+ * window and before the report is due. */
 Test (usage_reports, each_window_is_reported_before_it_is_due)
 {
   usage_simulation_init (1, false);
@@ -321,7 +324,7 @@
     simulate_one_time_step ();
   lc_usage_reports_end_duty (simulation.holders[0]);
   simulation.expected_requests[1]
-      += 7; /* requests of rows that arrive after the report was recorded */
+      += 7; /* requests counted in rows that are stored after the report was recorded */
   while (get_simulated_true_time_ms () < 25000)
     simulate_one_time_step ();
   cr_assert_null (simulation.accepted_text[2]);
--- a/packages/core/tests/test-usage.c
+++ b/packages/core/tests/test-usage.c
@@ -34,8 +34,9 @@
   lc_usage_free (usage);
 }
 
-/* Each row includes all requests counted in its window so far, and rows of one window are at least
- * ROW_PERIOD apart: a row per request would cause thousands of writes per second. */
+/* Each usage row that an instance writes includes all requests counted in the row's window so far.
+ * Rows of one window are at least ROW_PERIOD apart, because a row per request would cause thousands
+ * of writes per second. */
 Test (usage, rows_have_all_counts_and_are_a_period_apart)
 {
   LcUsage *usage = lc_usage_new (WINDOW_MS);
--- a/packages/core/tests/test-weights.c
+++ b/packages/core/tests/test-weights.c
@@ -41,8 +41,8 @@
   cr_assert_eq (get_weights_status ().wait_reason, LC_WEIGHTS_IDLE);
 }
 
-/* Routing needs the expected end of a swap. It must be estimated from the measured times of earlier
- * loads. */
+/* Routing avoids an engine until the expected end of its weight swap. This time must be estimated
+ * from the measured durations of earlier weight loads. */
 Test (weights, expected_end_of_a_swap_follows_measured_load_times)
 {
   LbList actions;
@@ -61,8 +61,8 @@
   fake_pool_free_weights_actions (&actions);
 }
 
-/* roll_out_percent would allow all engines to swap at once. The live reserve must limit the swaps,
- * or callers would be refused. */
+/* roll_out_percent would allow all engines to swap weights at once. The capacity reserved for live
+ * calls (0.6 of the engines) must limit the concurrent swaps, or live calls would be refused. */
 Test (weights, live_reserve_limits_engines_out_of_service)
 {
   fake_pool_clear (&pool);
@@ -121,8 +121,9 @@
   cr_assert_leq (pool.orders, 18);
 }
 
-/* A report that was requested before the order arrives after it and shows the old version. If it
- * counted as the end of the load, a second order would take another engine out of service. */
+/* The lease holder requests a report from an engine, then orders the engine to load weights, and
+ * then receives the report, which shows the old version. If the report counted as the end of the
+ * load, a second order would take another engine out of service. */
 Test (weights, report_from_before_the_order_does_not_end_the_load)
 {
   LbList actions;
@@ -142,9 +143,9 @@
   cr_assert_eq (pool.orders, 3);
 }
 
-/* An instance loses the lease, another one orders three engines, and the first regains the lease.
- * The first must count these loads instead of its outdated engine states, or it would order three
- * more engines. */
+/* An instance loses the lease, another instance orders three engines to load weights, and the first
+ * instance regains the lease. It must count the loads of these three engines instead of trusting
+ * the engine states that it knew before, or it would order three more engines. */
 Test (weights, holder_that_regains_the_lease_counts_loads_of_the_other)
 {
   fake_pool_run_for (&pool, 2 * LB_SEC);
@@ -180,8 +181,9 @@
   cr_assert_eq (fake_pool_count_engines_serving (&pool, 40), 12);
 }
 
-/* The lease holder crashes while three engines load. The new holder must read the engines first and
- * count these loads, or six of twelve engines would be out of service at once. */
+/* The lease holder crashes while three engines load weights. The new holder must read the states of
+ * the engines first and count these loads, or six of twelve engines would be out of service at
+ * once. */
 Test (weights, new_lease_holder_counts_loads_of_the_crashed_holder)
 {
   lc_weights_set_newest_version (pool.weights, 41, pool.now);
@@ -292,8 +294,8 @@
   cr_assert_eq (pool.engines[0].version, 41);
 }
 
-/* An engine accepts an order without carrying it out, as if it restarted. The order must be
- * repeated. */
+/* An engine accepts an order to load weights but does not execute it, as when the engine restarts
+ * just after the order. The order must be repeated. */
 Test (weights, order_without_effect_is_repeated)
 {
   pool.engines[5].ignores_orders = true;
@@ -306,8 +308,8 @@
   cr_assert_eq (fake_pool_count_engines_serving (&pool, 41), 12);
 }
 
-/* Three engines die just before the roll-out, while their known state is still serving. Their
- * orders fail and must not count against the limit of concurrent swaps. */
+/* Three engines die just before the roll-out, and the lease holder still takes them for serving.
+ * The orders to these engines fail and must not count against the limit of concurrent swaps. */
 Test (weights, failed_orders_do_not_count_as_swaps)
 {
   fake_pool_run_for (&pool, 2 * LB_SEC);
