--- a/packages/node/tests/steps-fixture.h
+++ b/packages/node/tests/steps-fixture.h
@@ -56,7 +56,7 @@
   FakeCalls calls;
   LnTask *front;
   LnTask *rollouts;
-  bool alive; /* value of this instance in the member lists that the test sends */
+  bool alive; /* the member lists that the test sends show this instance as alive */
   bool draining;
 } Instance;
 
@@ -73,7 +73,8 @@
   int status;                /* HTTP status of the last reply */
   char *reply;               /* body of the last reply */
   int n_pending;             /* number of calls without a reply */
-  bool strict; /* the owner of a step must record samples in the store before it delivers them */
+  bool strict; /* the trainer pulls from a strict subscription: the owner of a step must record
+                  samples in the store before it delivers them */
 } Cluster;
 
 static inline void faulty_store_transact (LpPlatform *platform,
--- a/packages/node/tests/test-calls-start.c
+++ b/packages/node/tests/test-calls-start.c
@@ -2,7 +2,8 @@
 
 #include "lc-fingerprint.h"
 
-/* A platform that defers the answer to the scan for crash reports until the test sends it. */
+/* A fake store. Answers the scan for crash reports only when the test calls
+ * answer_scan_with_crash_reports. */
 typedef struct
 {
   LpPlatform platform;   /* first member, because callbacks cast LpPlatform * to SlowStore * */
@@ -62,9 +63,9 @@
   connection_close (&caller);
 }
 
-/* After a restart of all instances, one instance on a busy machine had its configuration before the
- * crash reports. The instance accepted a call that had crashed three endpoints, and the call
- * crashed the fourth and last endpoint. */
+/* After a restart of all instances, one instance on a busy machine had received its configuration
+ * but not the crash reports yet. The instance accepted a call that had already crashed three
+ * endpoints, and the call crashed the fourth and last endpoint. */
 Test (calls_start, calls_are_refused_until_crash_reports_are_known)
 {
   SlowStore store = { .platform.klass = &slow_store_class };
--- a/packages/node/tests/test-calls.c
+++ b/packages/node/tests/test-calls.c
@@ -440,8 +440,8 @@
   free (((LnMembersMessage *)message)->members);
 }
 
-/* Sends the tasks a member list of four instances: this one, a live one, a suspected one and a
- * draining one. */
+/* Sends the tasks of the instance under test a list of four members: that instance itself, a live
+ * one, a suspected one and a draining one. */
 static void
 post_members_of_four_instances (Setup *s)
 {
--- a/packages/node/tests/test-crashes.c
+++ b/packages/node/tests/test-crashes.c
@@ -440,9 +440,9 @@
   event_base_free (base);
 }
 
-/* An endpoint that its supervisor restarts under the same name crashes three times while it runs
- * the same request, ten seconds apart. An instance that starts afterwards must count three
- * crashes, not one. */
+/* A supervisor restarts an endpoint under the same name after each crash. The endpoint crashes
+ * three times, ten seconds apart, on the same request. An instance that starts afterwards must
+ * count three crashes, not one. */
 Test (crashes, reports_keep_their_times_where_the_store_has_no_clock)
 {
   struct event_base *base = event_base_new ();
--- a/packages/node/tests/test-fleet-directory.c
+++ b/packages/node/tests/test-fleet-directory.c
@@ -123,8 +123,8 @@
   return n;
 }
 
-/* Guards against list calls that return more rows, and a directory that keeps more instances,
- * the larger the fleet is. */
+/* Guards against costs that grow with the fleet: list calls that return more rows, and a directory
+ * (the list of instances that each instance keeps) with more entries. */
 Test (fleet_directory, listing_cost_does_not_grow_with_the_fleet)
 {
   const size_t sizes[] = { 1000, 2000 };
@@ -145,7 +145,8 @@
     }
 }
 
-/* Guards against a directory that lacks some instances of a small fleet. */
+/* Guards against a directory (the list of instances that each instance keeps) that lacks some
+ * instances although the fleet is small enough to list all. */
 Test (fleet_directory, directory_contains_every_instance_of_a_small_fleet)
 {
   Store store;
--- a/packages/node/tests/test-fleet-renewal.c
+++ b/packages/node/tests/test-fleet-renewal.c
@@ -61,7 +61,8 @@
   LcFleetRow row;
   LnFleetRenewal *renewal;
   LbTime now;
-  /* whether the latest list of the store contained the row that is renewed only while on duty */
+  /* whether the latest list of the store contained the duty row, which is renewed only while the
+   * instance runs batches */
   bool is_duty_row_listed;
   bool is_omitted;
 } Setup;
@@ -127,9 +128,9 @@
   ln_fleet_renewal_free (s.renewal);
 }
 
-/* Guards against a duty row that stays in the store after an instance has stopped running batches:
- * the row is not renewed any more, so the other instances would consider the instance dead. The
- * store answers the first removal with an unknown outcome. */
+/* Guards against a duty row (renewed only while the instance runs batches) that stays in the store
+ * after the last batch: the row is not renewed any more, so the other instances would consider the
+ * instance dead. The store answers the first removal with an unknown outcome. */
 Test (fleet_renewal, the_duty_row_is_removed_after_the_duty)
 {
   Setup s;
@@ -177,8 +178,9 @@
   ln_fleet_renewal_free (s.renewal);
 }
 
-/* Guards against a total rate of renewals that grows with the fleet: instances that are not in
- * the directory renew their rows rarely, since no instance lists these rows. */
+/* Guards against a total rate of renewals that grows with the fleet: an instance that is not in the
+ * directory (the rows that instances list) renews its row rarely, since no other instance reads
+ * that row. */
 Test (fleet_renewal, an_instance_renews_its_row_seldom_until_it_is_in_the_directory)
 {
   Setup s;
--- a/packages/node/tests/test-request-bytes.c
+++ b/packages/node/tests/test-request-bytes.c
@@ -6,7 +6,7 @@
 typedef struct
 {
   const char *text;
-  size_t length; /* in bytes; 0 if the text ends at its first NUL */
+  size_t length; /* length of the text in bytes; 0: the text ends at its first NUL */
 } RequestSample;
 
 static size_t
--- a/packages/node/tests/test-row-cache.c
+++ b/packages/node/tests/test-row-cache.c
@@ -88,7 +88,8 @@
   ln_row_cache_free (cache);
 }
 
-/* A row's cached content must be evicted when a list does not contain the row. */
+/* When a list of the store does not contain a row, the cached content of that row must be evicted.
+ * */
 Test (row_cache, row_missing_from_a_list_is_parsed_again)
 {
   LnRowCache *cache = ln_row_cache_new (&klass, NULL);
--- a/packages/node/tests/test-steps.c
+++ b/packages/node/tests/test-steps.c
@@ -47,8 +47,8 @@
   cluster_free (cluster);
 }
 
-/* If the error said that the step is unknown, a trainer with a misspelt subscription would open the
- * step again and again. */
+/* A pull names a subscription that does not exist. If the error said that the step is unknown, the
+ * trainer would open the step again and again. */
 Test (steps, unknown_subscription_is_not_reported_as_unknown_step)
 {
   Cluster *cluster = cluster_new (false);
@@ -80,9 +80,9 @@
   cluster_free (cluster);
 }
 
-/* An owner that was wrongly considered dead and replaced receives the trainer's next pull. The
- * cursor contains a later session (the number of claims of the step), so the replaced owner must
- * relay the pull to the owner of that session. */
+/* The owner of a step was wrongly considered dead and replaced, and receives the trainer's next
+ * pull. The cursor of the pull contains a later session (number of claims of the step) than that of
+ * the replaced owner, which must relay the pull to the owner of the later session. */
 Test (steps, replaced_owner_relays_a_pull_with_a_later_session)
 {
   Cluster *cluster = cluster_new (false);
