--- a/tests/process/pt-cluster.h
+++ b/tests/process/pt-cluster.h
@@ -14,8 +14,8 @@
 {
   PtProcess process;
   LbName name;
-  LbName address;      /* serves callers; IP:PORT */
-  LbName peer_address; /* serves other instances; empty for stand-ins */
+  LbName address;      /* where the program serves callers; IP:PORT */
+  LbName peer_address; /* where an instance serves other instances; empty for stand-ins */
   LbName data_centre;  /* empty for stand-ins */
 } PtProgram;
 
@@ -29,7 +29,7 @@
   size_t n_instances;
   PtProgram endpoints[PT_MAX_PROGRAMS];
   size_t n_endpoints;
-  int drain_ms;             /* minimum time to serve callers after SIGTERM */
+  int drain_ms;             /* time for which an instance serves callers after SIGTERM, at least */
   int entry_ttl_ms;         /* how long callers may cache addresses of instances */
   int stream_silence_ms;    /* a stream that receives no byte for this time has failed */
   int request_read_ms;      /* limit for reading a request; does not cover its response */
--- a/tests/process/pt-process.h
+++ b/tests/process/pt-process.h
@@ -11,7 +11,7 @@
  * ends. */
 typedef struct
 {
-  pid_t pid;     /* 0: not started, or cleared */
+  pid_t pid;     /* process id; 0: the process was not started, or was cleared */
   int output_fd; /* read end of the pipe from the child's standard output; non-blocking */
   char *output;  /* standard output received until the last poll, NUL-terminated */
   size_t output_length;
--- a/tests/process/pt-relay.h
+++ b/tests/process/pt-relay.h
@@ -11,7 +11,7 @@
 {
   bool drops_to_target;   /* discard data that clients send */
   bool drops_from_target; /* discard data that the target sends */
-  LbTime delay;           /* added to data in each direction; 0: none */
+  LbTime delay;           /* how long data is held back, in each direction; 0: not at all */
 } PtRelayFault;
 
 /* A fault-injecting TCP proxy. It runs in the event loop of the test process. */
--- a/tests/process/pt-resources.c
+++ b/tests/process/pt-resources.c
@@ -59,9 +59,9 @@
   const char *changes; /* body for POST /v1/resources */
 } PendingChange;
 
-/* Sends the change and returns whether the instance accepted it. Two failures are expected and
- * retried: 503 from a new instance that does not know the other members yet, and no response from a
- * suspended or killed instance. */
+/* Sends the pending change and returns whether the instance accepted it. The caller may retry after
+ * either of two expected failures: 503 from a new instance that does not know the other members
+ * yet, and no response from a suspended or killed instance. */
 static bool
 is_change_accepted (PtCluster *cluster, void *user)
 {
--- a/tests/process/pt-shared.h
+++ b/tests/process/pt-shared.h
@@ -37,7 +37,7 @@
   SiEndpoint engines[PS_N_ENGINES]; /* endpoints of service "engines" */
   SiEndpoint lookup;                /* endpoint of service "lookups" */
   SiControlPlane control_plane;
-  bool has_duties; /* instances report usage and autoscale; to be set before they start */
+  bool has_duties; /* enables usage reports and autoscaling; to be set before the instances start */
   PsInstance instances[PS_MAX_INSTANCES];
   size_t n_instances;
   /* organisations in the desired state, as text ", NAME: VALUE"; NULL: none */
@@ -55,7 +55,8 @@
   char server_stamp[64]; /* header Server-Stamp; empty: absent */
 } PsCluster;
 
-/* Runs the event loop until the condition is true; fails the test after PS_WAIT_TIMEOUT. */
+/* Runs the event loop until the condition is true; fails the test if that takes longer than
+ * PS_WAIT_TIMEOUT. */
 #define PS_WAIT_UNTIL(cluster, condition)                                                          \
   do                                                                                               \
     {                                                                                              \
--- a/tests/process/test-chaos.c
+++ b/tests/process/test-chaos.c
@@ -20,8 +20,8 @@
   "--tokens-per-second", "150", "--vary-length", "--version", "40", "--load-ms", "300", NULL
 };
 
-/* Three instances, four engines and two services. A trainer, completion calls and orders (calls
- * that must not run twice) load them. */
+/* Three instances, four engines and two services under load from a trainer, from completion calls
+ * and from orders (calls that must not run twice). */
 typedef struct
 {
   PtCluster cluster;
@@ -194,9 +194,9 @@
   sleep_for_random_time (fixture, 300, 900);
 }
 
-/* Kills and replaces instance 0 when it is called first, instance 1 when it is called again, and
- * none after that. Instance 2 survives, because the trainer has a fixed address list and needs one
- * address that stays valid. */
+/* The first call kills and replaces instance 0, the second call instance 1; further calls do
+ * nothing. Instance 2 survives, because the trainer has a fixed address list and needs one address
+ * that stays valid. */
 static void
 kill_and_replace_next_instance (Fixture *fixture)
 {
--- a/tests/process/test-crashing.c
+++ b/tests/process/test-crashing.c
@@ -23,14 +23,14 @@
 #define N_LOOKUPS 3
 #define FATAL_BODY "BAD"
 #define FATAL_BODY_BASE64 "QkFE"
-/* Within this time after the third crash, all instances must have learnt of the three crashes. */
+/* After the third crash, all instances must know of the three crashes within this time. */
 #define CRASH_PROPAGATION_TIME (3 * LB_SEC)
 /* allowed runs of a fatal request after CRASH_PROPAGATION_TIME */
 #define MAX_RUNS_AFTER_PROPAGATION 3
 #define N_FATAL_CALL_REPEATS 12
 #define N_BATCH_ITEMS 6
-/* Time in which runs of a fatal item of a batch are counted. Without quarantine there would be
- * more than MAX_RUNS_AFTER_PROPAGATION. */
+/* Time in which the runs of a batch's fatal item are counted. Without quarantine the item would run
+ * more than MAX_RUNS_AFTER_PROPAGATION times in this time. */
 #define BATCH_OBSERVATION_TIME (8 * LB_SEC)
 
 typedef struct
--- a/tests/process/test-duties.c
+++ b/tests/process/test-duties.c
@@ -42,8 +42,8 @@
     }
 }
 
-/* Returns whether the usage reports give these numbers of calls of organisations "post" and
- * "mill". */
+/* Returns whether the usage reports count this number of calls for each of the organisations "post"
+ * and "mill". */
 static bool
 is_reported_usage_equal (const PsCluster *cluster, int64_t post, int64_t mill)
 {
--- a/tests/process/test-once.c
+++ b/tests/process/test-once.c
@@ -126,7 +126,8 @@
 }
 
 /* An instance is killed while it runs a call with an idempotency key. The other instances know only
- * its claim of the key in the platform's table, and must not run the call again. */
+ * the killed instance's claim of the key in the platform's table, and must not run the call again.
+ * */
 Test (once, call_with_key_claimed_by_killed_instance_is_not_rerun)
 {
   PtCluster cluster;
--- a/tests/process/test-shared.c
+++ b/tests/process/test-shared.c
@@ -132,8 +132,9 @@
   return read_endpoint_list_call_count (cluster, instance) <= list_calls_before;
 }
 
-/* Returns whether any instance uses the catalog only. The instance that sends weight orders does
- * not: it lists the endpoints itself. */
+/* Returns whether any instance gets its endpoint lists only from the catalog, the list that one
+ * instance publishes for all. The instance that sends weight orders does not, because it lists the
+ * endpoints itself. */
 static bool
 is_any_instance_using_catalog_only (PsCluster *cluster)
 {
@@ -144,8 +145,8 @@
   return is_found;
 }
 
-/* Returns the index of the instance that publishes the catalog; n_instances: none. Skips the
- * instance `excluded`, which was killed. */
+/* Returns the index of the instance that publishes the catalog (the endpoint list for all
+ * instances); n_instances: none. Skips the instance `excluded`, which was killed. */
 static size_t
 find_catalog_publisher (PsCluster *cluster, size_t excluded)
 {
@@ -481,8 +482,8 @@
   ps_cluster_clear (&cluster);
 }
 
-/* Returns whether batch b1 has a result at this position. If so, asserts that the result is
- * completed and that its text is longer than `length`. */
+/* Returns whether the results of batch b1 include one at this position. If so, asserts that the
+ * result is completed and that its text is longer than `length`. */
 static bool
 is_result_listed_and_longer_than (PsCluster *cluster, size_t instance, int position, size_t length)
 {
--- a/tests/process/test-steps.c
+++ b/tests/process/test-steps.c
@@ -94,7 +94,7 @@
   return count_finished_samples (cluster) >= N_SAMPLES / 4;
 }
 
-/* Returns the instance that owns step 1 according to its row in the platform's table. */
+/* Returns the instance that the row of step 1 in the platform's table names as the owner. */
 static PtProgram *
 find_step_owner (PtCluster *cluster)
 {
@@ -149,9 +149,9 @@
   return find_step_owner (cluster) != user;
 }
 
-/* The owner of a step is suspended until another instance takes the step over. Then it continues
- * with its old session, which has samples to deliver and rows to write. The trainer must get no
- * sample twice. */
+/* The owner of a step is suspended until another instance takes the step over. When the old owner
+ * continues, its old session still has samples to deliver and rows to write. The trainer must get
+ * no sample twice. */
 Test (steps, suspended_owner_that_continues_duplicates_no_sample)
 {
   Fixture fixture;
--- a/tests/soak/sk-callers.c
+++ b/tests/soak/sk-callers.c
@@ -31,10 +31,12 @@
   LbLink link;
   SkCallers *callers;
   SkInstance *instance;
-  int called_process_start; /* n_process_starts of the instance when the call started */
+  int called_process_start; /* value of the instance's n_process_starts when the call started, to
+                               detect a restart */
   CallKind kind;
   LbName id;
-  int64_t route; /* number of the newest added route when the call started; 0: none */
+  int64_t route; /* number of the newest added route when the call started, which a probe calls; 0:
+                    none */
   LbTime started_at;
   LhFetch *fetch;
 } Call;
--- a/tests/soak/sk-crasher.c
+++ b/tests/soak/sk-crasher.c
@@ -34,7 +34,7 @@
   int64_t n_calls;
   LbTime next_call_at;
   int n_crashes;
-  /* time by which all instances must refuse fatal requests; 0: too few crashes so far */
+  /* time from which on all instances must refuse fatal requests; 0: too few crashes so far */
   LbTime quarantined_by;
   int n_runs_after_quarantine;
   bool stopped;
--- a/tests/soak/sk-faults.c
+++ b/tests/soak/sk-faults.c
@@ -293,8 +293,9 @@
   return chosen;
 }
 
-/* Seeds rng from fault_rng before each fault, so that the details of the fault are reproducible.
- * Traffic draws from rng too, and the amount of traffic depends on the speed of the machine. */
+/* Before each fault, seeds the generator world->rng from world->fault_rng, so that the details of
+ * the fault are reproducible. Otherwise they would depend on the speed of the machine, because
+ * traffic draws a varying amount of numbers from world->rng. */
 void
 sk_faults_inject_next_if_due (SkWorld *world,
                               const char *only_fault_kind,
--- a/tests/soak/sk-trainer.c
+++ b/tests/soak/sk-trainer.c
@@ -42,7 +42,8 @@
   int64_t n_read;
   LhFetch *fetch;
   SkInstance *called_instance;
-  int called_process_start; /* n_process_starts of called_instance when the call started */
+  int called_process_start; /* value of the called instance's n_process_starts when the call
+                               started, to detect a restart */
   bool is_rereading;
   bool stopped;
   LbTime next_call_at;
--- a/tests/soak/sk-world.c
+++ b/tests/soak/sk-world.c
@@ -24,7 +24,7 @@
  * buffers of a paused instance */
 #define MAX_ORDER_DELAY (1500 * LB_MSEC)
 #define BATCH_CALL_IDLE_TIMEOUT (4 * LB_SEC)
-#define MIN_DRAIN_TIME (4 * LB_SEC) /* a draining endpoint stays up for at least this time */
+#define MIN_DRAIN_TIME (4 * LB_SEC) /* minimum time for which a draining endpoint stays up */
 /* limit of a graceful shutdown: the drain time plus the time for open calls and batches */
 #define STOP_TIMEOUT (10 * LB_SEC)
 /* Without other faults, a draining endpoint may get new work for at most this time. */
@@ -420,7 +420,8 @@
 
   check_request_organisation (endpoint, id, request ? SK_CALLER_ORGANISATION : "");
   if (!request)
-    return; /* scorer call of a batch; no simulated caller sent it */
+    return; /* a call that no simulated caller sent: an instance sent it to score an item of a batch
+             */
   request->n_runs++;
   if (!request->is_idempotent && request->n_runs > 1)
     sk_report_violation (endpoint->world, "a non-idempotent request runs at most once",
@@ -473,8 +474,8 @@
         (long long)world->highest_fencing_token);
 }
 
-/* Checks that two lease holders never use the same fencing token, since engines would accept
- * orders of both. */
+/* Called when an engine receives an order to load weights. Checks that two lease holders never use
+ * the same fencing token, since engines would accept orders of both. */
 static void
 on_weights_load_order (
     SiEndpoint *standin, const char *holder, int64_t fence, bool accepted, void *user)
--- a/tests/soak/sk-world.h
+++ b/tests/soak/sk-world.h
@@ -43,7 +43,7 @@
   LbTime heal_at;           /* end of the store relay's fault; LB_TIME_NEVER: no fault */
   LbTime sigterm_at;        /* time when SIGTERM was sent */
   LbTime last_disturbed_at; /* time of the last start, signal, exit or fault */
-  /* number of the newest added route that the instance has served; 0: none */
+  /* number of the newest of the routes r1, r2, ... that the instance has served; 0: none */
   int64_t newest_served_route;
 } SkInstance;
 
